--- a/src/coordination/byte_budget.ts
+++ b/src/coordination/byte_budget.ts
@@ -1,9 +1,9 @@
-/** A token bucket of bytes that may go into debt and then pays it back. */
+/** A token bucket of bytes that may become negative. */
 
 import type {Clock} from '../ports/clock.js';
 
 export interface ByteBudget {
-  /** Negative while in debt. */
+  /** Returns the available bytes; negative after an overdraft. */
   left(): number;
   mayTake(): boolean;
   take(sizeBytes: number): void;
--- a/src/coordination/change_channel.ts
+++ b/src/coordination/change_channel.ts
@@ -1,4 +1,4 @@
-/** Announces changes of a part's state as a `most` stream. */
+/** Publishes state changes as a `most` stream. */
 
 import {createAdapter} from '@most/adapter';
 import {runEffects, tap, until} from '@most/core';
@@ -6,10 +6,10 @@
 import type {Stream} from '@most/types';
 
 export interface ChangeChannel<T> {
-  /** Hands `change` to every listener before it returns. */
+  /** Passes `change` to every listener synchronously. */
   emit(change: T): void;
   readonly stream: Stream<T>;
-  /** Calls `listener` for each change until the result is called. */
+  /** Calls `listener` for each change; the returned function unsubscribes. */
   listen(listener: (change: T) => void): () => void;
 }
 
--- a/src/coordination/circuit.ts
+++ b/src/coordination/circuit.ts
@@ -1,7 +1,6 @@
 /**
- * A circuit breaker. While the platform is down it turns most calls away at
- * once, so that callers hear "unavailable" instead of each waiting out a
- * timeout; one probe at a time finds out when it is back.
+ * A circuit breaker. While the platform is unavailable, calls fail at once
+ * instead of waiting for a timeout; one probe at a time detects the recovery.
  */
 
 import type {Clock} from '../ports/clock.js';
@@ -10,7 +9,7 @@
 export type CircuitState = 'closed' | 'open' | 'half-open';
 
 export interface CircuitOptions {
-  /** Failures in a row that open the circuit. */
+  /** Consecutive failures that open the circuit. */
   readonly failureLimit: number;
   readonly minOpenMs: number;
   readonly maxOpenMs: number;
@@ -18,10 +17,10 @@
 
 export interface Circuit {
   state(): CircuitState;
-  /** 0 when a call may go now, else how long to wait. */
+  /** Returns 0 if a call may be made now, otherwise the time to wait in ms. */
   admit(): number;
-  /** An admitted call was not made after all; another may go at once. */
-  withdrawn(): void;
+  /** Reports that an admitted call was not made, so another may be admitted. */
+  cancelled(): void;
   succeeded(): void;
   failed(): void;
 }
@@ -39,7 +38,7 @@
 
   function open(): void {
     state = 'open';
-    // Jitter keeps the fleet's probes apart when the platform returns.
+    // Jitter spreads the probes of all hosts.
     openUntilMs = clock.nowMs() + openMs * (0.5 + random.nextFloat());
     openMs = Math.min(options.maxOpenMs, openMs * 2);
   }
@@ -57,7 +56,7 @@
       probeUntilMs = nowMs + options.maxOpenMs;
       return 0;
     },
-    withdrawn() {
+    cancelled() {
       if (state !== 'half-open') return;
       state = 'open';
       openUntilMs = clock.nowMs();
--- a/src/coordination/configuration.ts
+++ b/src/coordination/configuration.ts
@@ -1,9 +1,10 @@
 /**
- * The accepted configuration: changes it by compare-and-set, and brings the
- * newest revision into force on this host, never an older one.
+ * Changes the accepted configuration by compare-and-set and applies the newest
+ * revision on this host. A host never goes back to an older revision.
  *
- * News of a new head comes by gossip and, as a second way, by a rare read of
- * the table. Its body comes from the table or, when that is down, from peers.
+ * A new head revision is learned by gossip or, as a fallback, by an occasional
+ * read of the table. Its body is read from the table, or from peers while the
+ * table is unavailable.
  */
 
 import type {Clock, TimerHandle} from '../ports/clock.js';
@@ -39,49 +40,49 @@
   readonly table: TableClient;
   readonly facts: FactStore;
   readonly log?: Logger;
-  /** Hosts that may be asked for a revision, without this one. */
+  /** Hosts from which a revision can be fetched, excluding this one. */
   peers(): readonly string[];
-  /** Revision 0 asks for the newest that the peer has in force. */
+  /** Revision 0 fetches the newest revision in force at the peer. */
   fetchFromPeer(
     hostId: string,
     revision: number,
     timeoutMs: number,
   ): Promise<ConfigurationRevision | undefined>;
-  /** Problems of a body; none when this host can run with it. */
+  /** Returns the problems of a body; empty when this host can use it. */
   check(body: string): readonly string[];
 }
 
 export interface ConfigurationKeeperOptions {
   readonly hostId: string;
-  /** Head reads a second for the whole fleet; sets how often each host reads. */
+  /** Total head reads per second of all hosts; sets the poll interval. */
   readonly fleetHeadReadsPerSecond?: number;
 }
 
 export interface ConfigurationStatus {
-  /** 0 while none is. */
+  /** 0 while no revision is in force. */
   readonly inForceRevision: number;
-  /** The newest revision this host has heard of. */
+  /** The newest revision known to this host. */
   readonly headRevision: number;
-  /** Why the head is not in force, when it should be by now. */
+  /** Why the head revision is not in force yet. */
   readonly problem?: string;
 }
 
 export interface ConfigurationKeeper {
   start(): void;
   stop(): void;
-  /** What is in force on this host. */
+  /** Returns the revision in force on this host. */
   current(): ConfigurationRevision | undefined;
   status(): ConfigurationStatus;
   apply(change: ConfigurationChange): Promise<ApplyOutcome>;
-  /** Makes the body of an older revision the next one. */
+  /** Applies the body of an older revision as a new revision. */
   rollback(
     toRevision: number,
     change: Omit<ConfigurationChange, 'body'>,
   ): Promise<ApplyOutcome>;
   show(revision: number): Promise<RevisionRead>;
-  /** Newest first, without bodies. */
+  /** Returns the newest revisions first, without bodies. */
   history(limit: number): Promise<ReadOutcome<readonly RevisionRow[]>>;
-  /** Each revision that comes into force here, in growing order. */
+  /** Emits each revision that comes into force here, in ascending order. */
   readonly changes: ChangeChannel<ConfigurationRevision>;
 }
 
@@ -89,13 +90,13 @@
 const FACT_TTL_MS = 60_000;
 const DEFAULT_HEAD_READS_PER_SECOND = 130;
 const MIN_POLL_MS = 1_000;
-/** Spaces the reads of bodies: 1,300 hosts read each every 3.9 s. */
+/** Limits reads of bodies: with 1,300 hosts, each reads every 3.9 s. */
 const PULL_SPACING_MS_PER_HOST = 3;
 const RETRY_MS = 400;
 const PEER_TIMEOUT_MS = 600;
-const PEERS_ASKED = 3;
-/** After a start without the table, peers asked before any is believed. */
-const PEERS_ASKED_AT_START = 8;
+const PEERS_PER_FETCH = 3;
+/** Peers queried before one is trusted when a host starts without the table. */
+const PEERS_PER_RECOVERY = 8;
 const TABLE_USE = {priority: 'configuration', timeoutMs: 800} as const;
 const APPLY_USE = {priority: 'configuration', timeoutMs: 5_000} as const;
 
@@ -108,7 +109,7 @@
   const fleetReads =
     options.fleetHeadReadsPerSecond ?? DEFAULT_HEAD_READS_PER_SECOND;
   let inForce: ConfigurationRevision | undefined;
-  /** The newest revision fetched; newer than `inForce` if it failed a check. */
+  /** The newest fetched revision; newer than `inForce` if its check failed. */
   let fetched: ConfigurationRevision | undefined;
   let headRevision = 0;
   let problem: string | undefined;
@@ -116,7 +117,7 @@
   let lastPullMs = -Infinity;
   let isStopped = false;
   let pollTimer: TimerHandle | undefined;
-  let unlisten = () => undefined as void;
+  let unsubscribe = () => undefined as void;
 
   const wait = (delayMs: number) =>
     new Promise<void>(resolve => {
@@ -125,15 +126,17 @@
   const hostCount = () => host.peers().length + 1;
   const getFetchedRevision = () => fetched?.revision ?? 0;
 
-  function offer(revision: ConfigurationRevision): void {
+  function adopt(revision: ConfigurationRevision): void {
     if (!mayAdopt(getFetchedRevision(), revision.revision)) return;
     fetched = revision;
     headRevision = Math.max(headRevision, revision.revision);
     const problems = host.check(revision.body);
     if (problems.length > 0) {
-      // Stays with what works, and says so: operators see it in the status.
+      // Keeps the revision in force; operators see the problem in the status.
       problem = `Revision ${revision.revision} is not usable: ${problems[0]}`;
-      log?.error('Configuration not usable.', {revision: revision.revision});
+      log?.error('Configuration revision failed its check.', {
+        revision: revision.revision,
+      });
       return;
     }
     inForce = revision;
@@ -153,23 +156,23 @@
     });
   }
 
-  function hearOf(revision: number): void {
+  function observeHead(revision: number): void {
     headRevision = Math.max(headRevision, revision);
     if (headRevision > getFetchedRevision()) void pull();
   }
 
-  /** Brings what is newer than ours here; one at a time. */
+  /** Fetches the head revision if it is newer; only one fetch runs at a time. */
   async function pull(): Promise<void> {
     if (isPulling || isStopped) return;
     isPulling = true;
-    // Spread over the fleet, and several changes are read at once.
+    // The delay spreads reads over all hosts and combines several changes.
     const spacingMs = hostCount() * PULL_SPACING_MS_PER_HOST;
     const dueMs = lastPullMs + spacingMs * (0.75 + random.nextFloat() / 2);
     if (dueMs > clock.nowMs()) await wait(dueMs - clock.nowMs());
     while (!isStopped && headRevision > getFetchedRevision()) {
       lastPullMs = clock.nowMs();
       const revision = await fetchHead();
-      if (revision) offer(revision);
+      if (revision) adopt(revision);
       if (headRevision <= getFetchedRevision()) break;
       problem ??= `Revision ${headRevision} cannot be read yet.`;
       await wait(RETRY_MS * (0.5 + random.nextFloat()));
@@ -188,9 +191,9 @@
   ): Promise<ConfigurationRevision | undefined> {
     const fact = facts.get(FACT_KEY);
     const origin = fact && new TextDecoder().decode(fact.body);
-    const asked = pickPeers(PEERS_ASKED);
-    if (origin && origin !== options.hostId) asked.add(origin);
-    const answers = await askPeers(asked);
+    const peerIds = pickPeers(PEERS_PER_FETCH);
+    if (origin && origin !== options.hostId) peerIds.add(origin);
+    const answers = await askPeers(peerIds);
     return answers.find(answer => answer.revision >= wanted);
   }
 
@@ -203,7 +206,7 @@
     return picked;
   }
 
-  /** Answers of peers, the newest first. */
+  /** Returns the peers' revisions, newest first. */
   async function askPeers(
     hostIds: ReadonlySet<string>,
   ): Promise<readonly ConfigurationRevision[]> {
@@ -220,21 +223,21 @@
   async function readHead(): Promise<'read' | 'failed'> {
     const outcome = await table.read([HEAD_KEY], TABLE_USE);
     if (outcome.kind === 'failed') return 'failed';
-    hearOf(parseHeadRevision(outcome.value.at(0)));
+    observeHead(parseHeadRevision(outcome.value.at(0)));
     return 'read';
   }
 
   /**
-   * Without the table a restarted host does not know what it had in force
-   * before. It takes the newest of many peers, and nothing older than the
-   * newest that gossip names, so that it does not go back.
+   * Adopts the newest revision of several peers when the table is unavailable
+   * at startup. A restarted host does not know its former revision, so it
+   * rejects any revision older than the head known by gossip.
    */
   async function recoverFromPeers(): Promise<void> {
-    const answers = await askPeers(pickPeers(PEERS_ASKED_AT_START));
+    const answers = await askPeers(pickPeers(PEERS_PER_RECOVERY));
     const newest = answers.at(0);
-    const named = facts.get(FACT_KEY)?.version ?? 0;
-    if (newest && newest.revision >= Math.max(named, headRevision)) {
-      offer(newest);
+    const gossipedRevision = facts.get(FACT_KEY)?.version ?? 0;
+    if (newest && newest.revision >= Math.max(gossipedRevision, headRevision)) {
+      adopt(newest);
     }
   }
 
@@ -265,35 +268,35 @@
       APPLY_USE,
     );
     if (outcome.kind === 'accepted') {
-      // In force here first: this host serves it to peers, also when the
-      // table goes down right after the acceptance.
-      offer(outcome.accepted);
-      hearOf(outcome.accepted.revision);
+      // Adopted here first, so that peers can fetch it from this host if the
+      // table becomes unavailable right after the write.
+      adopt(outcome.accepted);
+      observeHead(outcome.accepted.revision);
     }
-    if (outcome.kind === 'lost') hearOf(outcome.to.revision);
+    if (outcome.kind === 'lost') observeHead(outcome.to.revision);
     return outcome;
   }
 
   return {
     start() {
-      unlisten = facts.changes.listen(fact => {
-        if (fact.key === FACT_KEY) hearOf(fact.version);
+      unsubscribe = facts.changes.listen(fact => {
+        if (fact.key === FACT_KEY) observeHead(fact.version);
       });
-      const heard = facts.get(FACT_KEY);
-      if (heard) hearOf(heard.version);
+      const headFact = facts.get(FACT_KEY);
+      if (headFact) observeHead(headFact.version);
       void poll();
     },
     stop() {
       isStopped = true;
-      unlisten();
+      unsubscribe();
       if (pollTimer) clock.clearTimer(pollTimer);
     },
     current: () => inForce,
     status() {
       const inForceRevision = inForce?.revision ?? 0;
       const isBehind = headRevision > inForceRevision;
-      const isBehindProblem = isBehind ? problem : undefined;
-      return {inForceRevision, headRevision, problem: isBehindProblem};
+      const currentProblem = isBehind ? problem : undefined;
+      return {inForceRevision, headRevision, problem: currentProblem};
     },
     apply,
     async rollback(toRevision, change) {
--- a/src/coordination/configuration_apply.ts
+++ b/src/coordination/configuration_apply.ts
@@ -1,6 +1,6 @@
 /**
- * Takes one operator's change to a clear end: accepted as N, lost to N by
- * whom and with which difference, not usable, or certainly not taken.
+ * Writes one configuration change and determines its outcome: accepted, lost
+ * to a concurrent change, invalid, refused, or unknown.
  */
 
 import type {Clock} from '../ports/clock.js';
@@ -20,20 +20,20 @@
   | {readonly kind: 'accepted'; readonly accepted: ConfigurationRevision}
   | {
       readonly kind: 'lost';
-      /** The revision that took the place. */
+      /** The revision that was accepted instead. */
       readonly to: {readonly revision: number; readonly author: string};
-      /** From the revision that the author saw to the one it lost to. */
+      /** Difference between the author's base revision and the accepted one. */
       readonly difference: string;
     }
   | {readonly kind: 'invalid'; readonly problems: readonly string[]}
   | {
-      /** Certainly not taken, and it will not be. */
+      /** The change was not applied and will not be applied later. */
       readonly kind: 'refused';
       readonly reason: string;
       readonly retryAfterMs: number;
     }
   | {
-      /** Apply again with the same change id to learn the end. */
+      /** Applying again with the same change id returns the final outcome. */
       readonly kind: 'unknown';
       readonly changeId: string;
     };
@@ -64,10 +64,10 @@
   if (base?.kind === 'failed') {
     return {kind: 'refused', reason: base.reason, retryAfterMs: 1_000};
   }
-  return write(host, change, base?.revision.body, use);
+  return writeChange(host, change, base?.revision.body, use);
 }
 
-async function write(
+async function writeChange(
   host: ApplyHost,
   change: ConfigurationChange,
   baseBody: string | undefined,
@@ -98,12 +98,12 @@
       return {kind: 'accepted', accepted: {...about, appliedAtMs: wallMs}};
     }
     case 'rejected':
-      // Another change has the place, or this one had it from an earlier try.
-      return readEnd(host, change, baseBody, use);
+      // Another change, or an earlier attempt of this one, has this revision.
+      return readOutcome(host, change, baseBody, use);
     case 'refused':
       return {
         kind: 'refused',
-        reason: `The platform did not take the write (${outcome.reason}).`,
+        reason: `The write was refused (${outcome.reason}).`,
         retryAfterMs: outcome.retryAfterMs,
       };
     case 'unknown':
@@ -111,7 +111,7 @@
   }
 }
 
-async function readEnd(
+async function readOutcome(
   host: ApplyHost,
   change: ConfigurationChange,
   baseBody: string | undefined,
@@ -119,7 +119,6 @@
 ): Promise<ApplyOutcome> {
   const key = getRevisionKey(change.basedOn + 1);
   const read = await host.table.read([key], use);
-  // Rejected, so another change or an earlier try of this one has the place.
   if (read.kind === 'failed') {
     return {kind: 'unknown', changeId: change.changeId};
   }
@@ -142,8 +141,8 @@
       return {kind: 'lost', to: {revision, author}, difference};
     }
     case 'undecided':
-      // The head is not at `basedOn` and nobody has the place after it: the
-      // author named a revision that is not accepted.
+      // The head is not at `basedOn` and the revision after it does not exist,
+      // so `basedOn` is not the accepted revision.
       return {
         kind: 'invalid',
         problems: [`Revision ${change.basedOn} is not the accepted one.`],
--- a/src/coordination/configuration_reader.ts
+++ b/src/coordination/configuration_reader.ts
@@ -1,4 +1,4 @@
-/** Reads revisions from the table, by deltas where the one before is known. */
+/** Reads revisions from the table, using deltas from a known older revision. */
 
 import type {TableClient, TableUse} from './table_client.js';
 import {toRowMap} from './table_client.js';
@@ -15,7 +15,7 @@
   | {readonly kind: 'absent'}
   | {readonly kind: 'failed'; readonly reason: string};
 
-/** Reads one revision in one read of the table. */
+/** Reads one revision with a single read of the table. */
 export async function readRevision(
   table: TableClient,
   wanted: number,
@@ -38,7 +38,7 @@
     const parsed = row && parseRevisionRow(row);
     if (!parsed) return {kind: 'absent'};
     body = restoreBody(parsed, body);
-    // A later row of the run may hold a whole body again.
+    // A later row may hold a complete body again.
     if (body === undefined) continue;
     const {revision, changeId, author, comment, appliedAtMs} = parsed;
     last = {revision, changeId, author, comment, appliedAtMs, body};
--- a/src/coordination/configuration_rules.ts
+++ b/src/coordination/configuration_rules.ts
@@ -1,10 +1,10 @@
 /**
- * Pure rules of the accepted configuration: its rows, what a change writes,
- * and what rows read back say of it. The model checker drives these functions.
+ * Pure rules of the accepted configuration: its rows, the write of a change,
+ * and its outcome as derived from rows. The model checker runs these functions.
  *
- * `config/head` names the newest revision; `config/revision/<n>` is written
- * once. A change is based on revision n and can only become n + 1, so the row
- * of n + 1 tells for ever whose change that was.
+ * `config/head` holds the newest revision; `config/revision/<n>` is written
+ * once. A change based on revision n can only become n + 1, so the row of
+ * n + 1 permanently identifies the change that was accepted.
  */
 
 import {createHash} from 'node:crypto';
@@ -27,22 +27,22 @@
   readonly changeId: string;
   readonly author: string;
   readonly comment: string;
-  /** Wall clock of the host that took the change; for people. */
+  /** Wall clock of the host that accepted the change; informational only. */
   readonly appliedAtMs: number;
   readonly body: string;
 }
 
 export interface ConfigurationChange {
   readonly body: string;
-  /** Revision that the author saw; 0 for the first. */
+  /** Revision that the change was made from; 0 for the first change. */
   readonly basedOn: number;
-  /** Chosen by the author; the same one again asks for the same change. */
+  /** Chosen by the author; reusing it makes a retry idempotent. */
   readonly changeId: string;
   readonly author: string;
   readonly comment: string;
 }
 
-/** A revision row: the whole body, or the delta from the revision before. */
+/** A revision row: the full body, or a delta from the previous revision. */
 export interface RevisionRow extends Omit<ConfigurationRevision, 'body'> {
   readonly digest: string;
   readonly body?: string;
@@ -52,7 +52,7 @@
 export const HEAD_KEY = 'config/head';
 const REVISION_PREFIX = 'config/revision/';
 const REVISION_DIGITS = 10;
-/** Every so many revisions the row holds the whole body. */
+/** One row in this many holds the full body. */
 const REVISIONS_PER_SNAPSHOT = 16;
 const DIGEST_DIGITS = 16;
 
@@ -65,7 +65,7 @@
   return digest.slice(0, DIGEST_DIGITS);
 }
 
-/** The newest revision at or before `revision` that is stored whole. */
+/** Returns the newest revision up to `revision` that is stored in full. */
 export function getSnapshotRevision(revision: number): number {
   return revision - ((revision - 1) % REVISIONS_PER_SNAPSHOT);
 }
@@ -93,7 +93,7 @@
   };
 }
 
-/** The body of a row, given that of the revision before. */
+/** Restores the body of a row from the body of the previous revision. */
 export function restoreBody(
   row: RevisionRow,
   before: string | undefined,
@@ -121,7 +121,7 @@
   return isSmall ? {delta} : {body};
 }
 
-/** A write that makes the change revision `basedOn + 1`, or does nothing. */
+/** Builds the write that makes the change revision `basedOn + 1`. */
 export function buildApply(
   change: ConfigurationChange,
   baseBody: string | undefined,
@@ -155,11 +155,11 @@
   };
 }
 
-/** What the row of `basedOn + 1` says of a change. */
+/** Outcome of a change as shown by the row of `basedOn + 1`. */
 export type ChangeVerdict =
   | {readonly kind: 'accepted'}
   | {readonly kind: 'lost'; readonly to: RevisionRow}
-  /** No change has taken the place yet; a write on its way still may. */
+  /** The revision does not exist yet; a write in flight may still create it. */
   | {readonly kind: 'undecided'};
 
 export function judgeChange(
@@ -172,7 +172,7 @@
   return {kind: 'lost', to: found};
 }
 
-/** A host moves forward only. */
+/** Whether a revision may be adopted; a host never adopts an older one. */
 export function mayAdopt(inForce: number, offered: number): boolean {
   return offered > inForce;
 }
--- a/src/coordination/datagram_seal.ts
+++ b/src/coordination/datagram_seal.ts
@@ -1,8 +1,7 @@
 /**
- * Authenticates datagrams between our own processes: a truncated HMAC-SHA-256
- * before the payload. A replayed datagram does no harm, since all that
- * datagrams carry is monotone, and acknowledgements name a sequence number
- * that starts at random.
+ * Authenticates datagrams between peers by a truncated HMAC-SHA-256 before the
+ * payload. A replayed datagram does no harm: all its records are ordered by
+ * version, and acknowledgements carry a sequence number with a random start.
  */
 
 import {createHmac, timingSafeEqual} from 'node:crypto';
@@ -11,7 +10,7 @@
 
 export interface DatagramSealer {
   seal(payload: Uint8Array): Uint8Array;
-  /** The payload, or undefined when it is not from one of ours. */
+  /** Returns the payload, or undefined if the signature is not valid. */
   open(sealed: Uint8Array): Uint8Array | undefined;
 }
 
--- a/src/coordination/directory.ts
+++ b/src/coordination/directory.ts
@@ -1,75 +1,75 @@
 /**
- * Which entries a caller should use, for how long. A pure ranking over this
- * host's own view, so there is an answer also while the platform is down.
+ * Selects the entries that a caller should use, and for how long. The ranking
+ * uses only this host's own view, so it works while the platform is unavailable.
  */
 
 import type {Clock} from '../ports/clock.js';
 import type {Random} from '../ports/random.js';
 import type {Member} from './member_records.js';
 
-/** An entry as the ranking sees it. */
+/** Input of the ranking for one entry. */
 export interface RankedEntry {
   readonly hostId: string;
   readonly callerAddress: string;
   readonly failureDomain: string;
   readonly state: Member['state'];
-  /** Load from 0 to 1 as last heard; undefined if not heard of late. */
+  /** Last reported load from 0 to 1; undefined if there is no recent report. */
   readonly load?: number;
-  /** Since when the entry is known as running, on this host's clock. */
+  /** Time since which the entry has been running, on this host's clock. */
   readonly sinceMs: number;
-  /** Since when its domain has entries without a break. */
+  /** Time since which its failure domain has had entries continuously. */
   readonly domainSinceMs: number;
 }
 
 export interface DirectoryAnswer {
-  /** Best first; never empty on a host that runs. */
+  /** Best entry first; never empty. */
   readonly entries: readonly {
     readonly hostId: string;
     readonly callerAddress: string;
   }[];
-  /** How long the caller may keep this answer. */
+  /** How long the caller may cache this answer. */
   readonly ttlMs: number;
 }
 
 export interface RankOptions {
   readonly count: number;
   readonly nowMs: number;
-  /** An entry or domain that came back gets its full part after this long. */
+  /** Time until a returning entry or domain receives its full share. */
   readonly rampMs: number;
 }
 
-/** Taken for an entry that was not heard of late. */
+/** Assumed load of an entry without a recent report. */
 const UNKNOWN_LOAD = 0.5;
 const MIN_WEIGHT = 0.02;
 const SUSPECT_FACTOR = 0.1;
 
 /**
- * Weight of an entry in the draw: its room, less while it or its domain has
- * just come back. Without the ramp all callers whose answers end in that
- * minute would go to the empty domain at once and overload it.
+ * Returns the selection weight of an entry: its spare capacity, reduced while
+ * the entry or its domain has just returned. Without the ramp all callers
+ * whose answers expire in that minute would overload the empty domain.
  */
 function getWeight(entry: RankedEntry, options: RankOptions): number {
-  const room = Math.max(0, 1 - (entry.load ?? UNKNOWN_LOAD));
+  const spareCapacity = Math.max(0, 1 - (entry.load ?? UNKNOWN_LOAD));
   const sinceMs = Math.max(entry.sinceMs, entry.domainSinceMs);
   const ramp = Math.min(1, (options.nowMs - sinceMs) / options.rampMs);
-  const trust = entry.state === 'suspect' ? SUSPECT_FACTOR : 1;
-  return Math.max(MIN_WEIGHT, room * ramp) * trust;
+  const stateFactor = entry.state === 'suspect' ? SUSPECT_FACTOR : 1;
+  return Math.max(MIN_WEIGHT, spareCapacity * ramp) * stateFactor;
 }
 
-const isOffered = (entry: RankedEntry) =>
+const isEligible = (entry: RankedEntry) =>
   entry.callerAddress !== '' &&
   (entry.state === 'alive' || entry.state === 'suspect');
 
-/** Draws entries without repeat by weight, in turn from each domain. */
+/** Samples entries by weight without replacement, one per domain first. */
 export function rankEntries(
   entries: readonly RankedEntry[],
   options: RankOptions,
   random: Random,
 ): readonly RankedEntry[] {
-  const drawn = entries
-    .filter(isOffered)
+  const sampled = entries
+    .filter(isEligible)
     .map(entry => {
-      // The order of u^(1/w) is a draw by weight without replacement.
+      // Sorting by u^(1/w) samples by weight without replacement.
       const unit = 1 - random.nextFloat();
       const rank = Math.log(unit) / getWeight(entry, options);
       return {entry, rank};
@@ -79,7 +79,7 @@
   const seen = new Set<string>();
   const first: RankedEntry[] = [];
   const rest: RankedEntry[] = [];
-  for (const entry of drawn) {
+  for (const entry of sampled) {
     (seen.has(entry.failureDomain) ? rest : first).push(entry);
     seen.add(entry.failureDomain);
   }
@@ -89,9 +89,9 @@
 export interface DirectoryHost {
   readonly clock: Clock;
   readonly random: Random;
-  /** Members thought to run, this host included. */
+  /** Members believed to be running, including this host. */
   members(): readonly Member[];
-  /** Load of an entry from 0 to 1, if heard of late. */
+  /** Returns the recently reported load of an entry, from 0 to 1. */
   loadOf(hostId: string): number | undefined;
 }
 
@@ -99,7 +99,7 @@
   readonly hostId: string;
   readonly callerAddress: string;
   readonly ttlMs: number;
-  /** Entries in an answer. */
+  /** Number of entries in an answer. */
   readonly count: number;
   readonly rampMs?: number;
 }
@@ -121,18 +121,18 @@
   const sinceMs = new Map<string, number>();
   const domainSinceMs = new Map<string, number>();
 
-  /** Notes when each entry and domain appeared, and forgets those gone. */
-  function noteTimes(members: readonly Member[]): void {
+  /** Records when entries and domains appeared, and removes those gone. */
+  function updateTimes(members: readonly Member[]): void {
     const nowMs = clock.nowMs();
-    // What is there when this host starts has been there before.
-    const isFirst = nowMs - startedAtMs < rampMs;
-    const atMs = isFirst ? -Infinity : nowMs;
-    keep(sinceMs, new Set(members.map(member => member.hostId)), atMs);
+    // Members found during startup are assumed to have run before.
+    const isStartingUp = nowMs - startedAtMs < rampMs;
+    const atMs = isStartingUp ? -Infinity : nowMs;
+    syncTimes(sinceMs, new Set(members.map(member => member.hostId)), atMs);
     const domains = new Set(members.map(member => member.failureDomain));
-    keep(domainSinceMs, domains, atMs);
+    syncTimes(domainSinceMs, domains, atMs);
   }
 
-  function keep(
+  function syncTimes(
     times: Map<string, number>,
     present: ReadonlySet<string>,
     atMs: number,
@@ -158,19 +158,19 @@
   return {
     answer() {
       const members = host.members();
-      noteTimes(members);
+      updateTimes(members);
       const ranked = rankEntries(
         members.map(toEntry),
         {count: options.count, nowMs: clock.nowMs(), rampMs},
         random,
       );
-      // A host alone in its view, or leaving last, still names itself.
+      // A host without other eligible entries returns itself.
       const {hostId, callerAddress} = options;
       const entries =
         ranked.length > 0
           ? ranked.map(({hostId, callerAddress}) => ({hostId, callerAddress}))
           : [{hostId, callerAddress}];
-      // Jitter keeps callers that asked together from asking together again.
+      // Jitter prevents callers from refreshing at the same time.
       const factor = 1 - TTL_JITTER * random.nextFloat();
       return {entries, ttlMs: Math.round(options.ttlMs * factor)};
     },
--- a/src/coordination/facts.ts
+++ b/src/coordination/facts.ts
@@ -1,10 +1,10 @@
 /**
- * Small facts that spread between members within the byte budget.
+ * Distributes small versioned facts between members within the byte budget.
  *
- * A fact is monotone: of two with one key the higher version stands. A
- * `direct` fact rides on its publisher's own datagrams only, so each host
- * hears a moving sample of the others at a cost that does not grow with their
- * number. A `relayed` fact is passed on until all have it.
+ * Of two facts with the same key the higher version wins. A `direct` fact is
+ * piggybacked only on its publisher's own datagrams, so each host receives a
+ * changing sample of the others at a cost independent of their number. A
+ * `relayed` fact is forwarded by each receiver until all members have it.
  */
 
 import type {Clock} from '../ports/clock.js';
@@ -19,34 +19,34 @@
   /** Below 2^32. */
   readonly version: number;
   readonly body: Uint8Array;
-  /** Host that this one heard it from; empty for our own. */
+  /** Host that it was received from; empty for this host's own facts. */
   readonly fromHostId: string;
 }
 
 export interface FactStore {
-  /** Publishes, or refreshes, a fact of this host. */
+  /** Publishes or refreshes a fact of this host. */
   publish(fact: {
     readonly key: string;
     readonly version: number;
     readonly body: Uint8Array;
-    /** Hosts forget it this long after they heard it. */
+    /** Receivers drop the fact this long after they received it. */
     readonly ttlMs: number;
     readonly reach: FactReach;
   }): void;
-  /** Stops publishing; others forget it at the end of its life. */
+  /** Stops publishing; other hosts drop the fact when it expires. */
   withdraw(key: string): void;
   get(key: string): Fact | undefined;
-  /** Living facts whose key starts with `prefix`. */
+  /** Returns unexpired facts whose key starts with `prefix`. */
   list(prefix: string): readonly Fact[];
-  /** New facts and new versions. */
+  /** Emits new facts and new versions. */
   readonly changes: ChangeChannel<Fact>;
 }
 
-/** The side of the store that membership drives. */
-export interface FactSpread extends FactStore {
-  /** Facts to pass on. */
+/** A fact store with the operations used by membership. */
+export interface FactGossip extends FactStore {
+  /** Takes facts to forward. */
   takeRelayed(roomBytes: number, memberCount: number): readonly SentFact[];
-  /** Facts of this host. */
+  /** Takes facts published by this host. */
   takeOwn(roomBytes: number): readonly SentFact[];
   receive(fact: SentFact, fromHostId: string): void;
 }
@@ -56,36 +56,40 @@
   readonly expiresAtMs: number;
 }
 
-/** Bounds memory against a publisher of ever new keys. */
+/** Bounds memory if a publisher keeps creating new keys. */
 const MAX_FACTS = 20_000;
 const MAX_BODY_BYTES = 256;
-/** Beyond the first, own facts on a datagram stay within this. */
-const OWN_BYTES = 90;
+/** Size limit of own facts on a datagram when there is more than one. */
+const MAX_EXTRA_OWN_BYTES = 90;
 const MAX_TTL_MS = 3_600_000;
 
-/** `onNews` is called when there is a new fact to pass on. */
-export function createFactSpread(clock: Clock, onNews: () => void): FactSpread {
+/** Calls `onUpdate` when there is a new fact to forward. */
+export function createFactGossip(
+  clock: Clock,
+  onUpdate: () => void,
+): FactGossip {
   const own = new Map<string, SentFact>();
-  const heard = new Map<string, StoredFact>();
-  const relays = createGossipQueue<string>();
+  const known = new Map<string, StoredFact>();
+  const relayQueue = createGossipQueue<string>();
   const changes = createChangeChannel<Fact>();
-  let nextOwn = 0;
+  let nextOwnIndex = 0;
 
-  const isAlive = (fact: StoredFact) => fact.expiresAtMs > clock.nowMs();
+  const isUnexpired = (fact: StoredFact) => fact.expiresAtMs > clock.nowMs();
 
-  function forgetExpired(): void {
-    for (const [key, fact] of heard) {
-      if (!isAlive(fact)) heard.delete(key);
+  function removeExpired(): void {
+    for (const [key, fact] of known) {
+      if (!isUnexpired(fact)) known.delete(key);
     }
   }
 
   function store(fact: SentFact, fromHostId: string): boolean {
-    const before = heard.get(fact.key);
-    const isOld = before && isAlive(before) && before.version > fact.version;
+    const before = known.get(fact.key);
+    const isOld =
+      before && isUnexpired(before) && before.version > fact.version;
     if (isOld) return false;
     const isNews = !before || before.version < fact.version;
-    if (isNews && heard.size >= MAX_FACTS) forgetExpired();
-    if (isNews && heard.size >= MAX_FACTS) return false;
+    if (isNews && known.size >= MAX_FACTS) removeExpired();
+    if (isNews && known.size >= MAX_FACTS) return false;
     const ttlMs = Math.min(fact.ttlMs, MAX_TTL_MS);
     const {key, version, body, isRelayed} = fact;
     const expiresAtMs = Math.max(
@@ -93,33 +97,33 @@
       isNews ? 0 : before.expiresAtMs,
     );
     const stored = {key, version, body, fromHostId, isRelayed, expiresAtMs};
-    heard.set(key, stored);
+    known.set(key, stored);
     if (isNews) changes.emit(stored);
     return isNews;
   }
 
-  function passOn(fact: SentFact): void {
-    relays.add(fact.key, fact.key, getFactSizeBytes(fact));
-    onNews();
+  function relay(fact: SentFact): void {
+    relayQueue.add(fact.key, fact.key, getFactSizeBytes(fact));
+    onUpdate();
   }
 
   /**
-   * Own facts take turns on the datagrams: one on each, and more while they
-   * are small, so that news always finds room in the budget.
+   * Takes own facts in round-robin order: one for each datagram, and more
+   * while they are small, which leaves room for membership updates.
    */
   function takeOwn(roomBytes: number): SentFact[] {
     const facts = [...own.values()];
     const taken: SentFact[] = [];
     let usedBytes = 0;
     for (let i = 0; i < facts.length; i++) {
-      const fact = facts[(nextOwn + i) % facts.length];
+      const fact = facts[(nextOwnIndex + i) % facts.length];
       const sizeBytes = usedBytes + getFactSizeBytes(fact);
-      const limitBytes = taken.length === 0 ? roomBytes : OWN_BYTES;
+      const limitBytes = taken.length === 0 ? roomBytes : MAX_EXTRA_OWN_BYTES;
       if (sizeBytes > Math.min(roomBytes, limitBytes)) break;
       usedBytes = sizeBytes;
       taken.push(fact);
     }
-    nextOwn = (nextOwn + taken.length) % Math.max(1, facts.length);
+    nextOwnIndex = (nextOwnIndex + taken.length) % Math.max(1, facts.length);
     return taken;
   }
 
@@ -138,31 +142,31 @@
       const fact = {key, version, body, ttlMs, isRelayed};
       own.set(key, fact);
       const isNews = store(fact, '');
-      if (isNews && isRelayed) passOn(fact);
+      if (isNews && isRelayed) relay(fact);
     },
     withdraw(key) {
       own.delete(key);
     },
     get(key) {
-      const fact = heard.get(key);
-      return fact && isAlive(fact) ? fact : undefined;
+      const fact = known.get(key);
+      return fact && isUnexpired(fact) ? fact : undefined;
     },
     list: prefix =>
-      [...heard.values()].filter(
-        fact => fact.key.startsWith(prefix) && isAlive(fact),
+      [...known.values()].filter(
+        fact => fact.key.startsWith(prefix) && isUnexpired(fact),
       ),
     changes,
     takeRelayed: (roomBytes, memberCount) =>
-      relays
+      relayQueue
         .take(roomBytes, memberCount)
-        .flatMap(key => heard.get(key) ?? [])
-        .filter(isAlive)
+        .flatMap(key => known.get(key) ?? [])
+        .filter(isUnexpired)
         .map(toSent),
     takeOwn,
     receive(fact, fromHostId) {
       if (fact.body.length > MAX_BODY_BYTES) return;
       const isNews = store(fact, fromHostId);
-      if (isNews && fact.isRelayed) passOn(fact);
+      if (isNews && fact.isRelayed) relay(fact);
     },
   };
 }
--- a/src/coordination/failure_detector.ts
+++ b/src/coordination/failure_detector.ts
@@ -1,6 +1,7 @@
 /**
- * Finds members that do not answer: a probe, probes by way of others, a
- * suspicion that the member may contradict, and only then its death.
+ * Detects failed members. A member that answers neither a direct nor an
+ * indirect probe becomes suspect; it is declared dead unless it refutes the
+ * suspicion in time.
  */
 
 import type {Clock, TimerHandle} from '../ports/clock.js';
@@ -18,7 +19,7 @@
 
 export interface FailureDetectorOptions {
   readonly probeIntervalMs: number;
-  /** How long a suspected member has to contradict. */
+  /** Time for a suspected member to refute the suspicion. */
   readonly suspicionMs: number;
 }
 
@@ -34,21 +35,21 @@
 }
 
 interface Suspicion {
-  /** Our own probe failed; else we only heard of it. */
+  /** This host's own probe failed; false if only reported by others. */
   isOwn: boolean;
   startedAtMs: number;
   timer: TimerHandle | undefined;
 }
 
 const INDIRECT_PROBES = 3;
-/** Shares of the probe interval. */
-const DIRECT_WAIT = 0.6;
-const INDIRECT_WAIT = 0.8;
-/** Pings sent to a member while we suspect it. */
+/** Waits for answers, as shares of the probe interval. */
+const DIRECT_WAIT_SHARE = 0.6;
+const INDIRECT_WAIT_SHARE = 0.8;
+/** Pings sent to a member while this host suspects it. */
 const PINGS_PER_SUSPICION = 5;
-/** Who only heard of a suspicion waits longer: the finder decides first. */
-const HEARD_FACTOR = 2.5;
-const PROBE_MEMORY_INTERVALS = 10;
+/** Longer wait for a reported suspicion, so its originator decides first. */
+const REPORTED_SUSPICION_FACTOR = 2.5;
+const PROBE_RETENTION_INTERVALS = 10;
 const INTERVAL_JITTER = 0.2;
 
 export function createFailureDetector(
@@ -59,39 +60,39 @@
   const probes = new Map<number, Probe>();
   const suspicions = new Map<string, Suspicion>();
   const answeredAtMs = new Map<string, number>();
-  let ring: string[] = [];
+  let probeOrder: string[] = [];
   let sequence = random.nextInt(2 ** 31);
   let tickTimer: TimerHandle | undefined;
   let isStopped = false;
 
   /**
-   * Runs `act` after a delay, unless this process itself was held up: then
-   * its timers fire late with unread answers still in the socket, and it
-   * would call healthy members dead. It forgets what it asked and starts over.
+   * Runs `callback` after a delay, unless this process was paused. After a pause
+   * timers run late while answers are still unread in the socket, and healthy
+   * members would be declared dead; pending probes are discarded instead.
    */
-  function after(delayMs: number, act: () => void): TimerHandle {
+  function after(delayMs: number, callback: () => void): TimerHandle {
     const dueMs = clock.nowMs() + delayMs;
     return clock.setTimer(delayMs, () => {
       if (isStopped) return;
       const isLate =
-        clock.nowMs() - dueMs > options.probeIntervalMs * DIRECT_WAIT;
-      if (isLate) startOver();
-      else act();
+        clock.nowMs() - dueMs > options.probeIntervalMs * DIRECT_WAIT_SHARE;
+      if (isLate) resetProbes();
+      else callback();
     });
   }
 
-  function startOver(): void {
+  function resetProbes(): void {
     probes.clear();
     for (const hostId of suspicions.keys()) restartSuspicion(hostId);
   }
 
-  function pickFromRing(): Member | undefined {
+  function pickNextTarget(): Member | undefined {
     const selfId = members.self().hostId;
     for (let refills = 0; refills < 2;) {
-      const hostId = ring.pop();
+      const hostId = probeOrder.pop();
       if (hostId === undefined) {
         refills++;
-        ring = shuffle(members.running().map(member => member.hostId));
+        probeOrder = shuffle(members.running().map(member => member.hostId));
         continue;
       }
       const member = members.get(hostId);
@@ -117,12 +118,12 @@
 
   function probe(target: Member): void {
     const sent = sendProbe(target);
-    after(options.probeIntervalMs * DIRECT_WAIT, () => {
+    after(options.probeIntervalMs * DIRECT_WAIT_SHARE, () => {
       if (!probes.has(sent)) return;
       for (const relay of pickRelays(target)) {
         host.requestPing(relay, target, sent);
       }
-      after(options.probeIntervalMs * INDIRECT_WAIT, () => {
+      after(options.probeIntervalMs * INDIRECT_WAIT_SHARE, () => {
         if (probes.delete(sent)) suspect(target.hostId);
       });
     });
@@ -146,15 +147,15 @@
     if (!member || !isRunning(member)) return;
     if (member.state === 'suspect') {
       const suspicion = suspicions.get(hostId);
-      if (suspicion && !suspicion.isOwn) ownSuspicion(hostId, suspicion);
+      if (suspicion && !suspicion.isOwn) startOwnSuspicion(hostId, suspicion);
       return;
     }
     members.apply({...member, state: 'suspect'});
     const suspicion = suspicions.get(hostId);
-    if (suspicion) ownSuspicion(hostId, suspicion);
+    if (suspicion) startOwnSuspicion(hostId, suspicion);
   }
 
-  function ownSuspicion(hostId: string, suspicion: Suspicion): void {
+  function startOwnSuspicion(hostId: string, suspicion: Suspicion): void {
     suspicion.isOwn = true;
     restartSuspicion(hostId);
     for (let i = 1; i <= PINGS_PER_SUSPICION; i++) {
@@ -170,18 +171,18 @@
     if (!suspicion) return;
     if (suspicion.timer) clock.clearTimer(suspicion.timer);
     suspicion.startedAtMs = clock.nowMs();
-    const factor = suspicion.isOwn ? 1 : HEARD_FACTOR;
+    const factor = suspicion.isOwn ? 1 : REPORTED_SUSPICION_FACTOR;
     suspicion.timer = after(options.suspicionMs * factor, () =>
-      endSuspicion(hostId, suspicion),
+      resolveSuspicion(hostId, suspicion),
     );
   }
 
-  function endSuspicion(hostId: string, suspicion: Suspicion): void {
+  function resolveSuspicion(hostId: string, suspicion: Suspicion): void {
     const member = members.get(hostId);
     if (member?.state !== 'suspect') return;
     const answered = answeredAtMs.get(hostId) ?? -Infinity;
     if (answered >= suspicion.startedAtMs) {
-      // It runs, but has not heard that it is suspected. Each ping tells it.
+      // It is running but does not know of the suspicion; a ping reports it.
       restartSuspicion(hostId);
       sendProbe(member);
       return;
@@ -189,7 +190,7 @@
     members.apply({...member, state: 'dead'});
   }
 
-  function endSuspicionState(hostId: string): void {
+  function clearSuspicion(hostId: string): void {
     const suspicion = suspicions.get(hostId);
     if (suspicion?.timer) clock.clearTimer(suspicion.timer);
     suspicions.delete(hostId);
@@ -199,7 +200,7 @@
     const {hostId, state} = member;
     if (hostId === members.self().hostId) return;
     if (state !== 'suspect') {
-      endSuspicionState(hostId);
+      clearSuspicion(hostId);
       if (!isRunning(member)) answeredAtMs.delete(hostId);
       return;
     }
@@ -208,9 +209,9 @@
     restartSuspicion(hostId);
   });
 
-  function forgetOldProbes(): void {
+  function removeOldProbes(): void {
     const beforeMs =
-      clock.nowMs() - options.probeIntervalMs * PROBE_MEMORY_INTERVALS;
+      clock.nowMs() - options.probeIntervalMs * PROBE_RETENTION_INTERVALS;
     for (const [sent, {sentAtMs}] of probes) {
       if (sentAtMs >= beforeMs) break;
       probes.delete(sent);
@@ -221,8 +222,8 @@
     if (isStopped) return;
     const jitter = 1 + INTERVAL_JITTER * (random.nextFloat() - 0.5);
     tickTimer = clock.setTimer(options.probeIntervalMs * jitter, tick);
-    forgetOldProbes();
-    const target = pickFromRing();
+    removeOldProbes();
+    const target = pickNextTarget();
     if (target) probe(target);
   }
 
@@ -234,7 +235,7 @@
     stop() {
       isStopped = true;
       if (tickTimer) clock.clearTimer(tickTimer);
-      for (const hostId of [...suspicions.keys()]) endSuspicionState(hostId);
+      for (const hostId of [...suspicions.keys()]) clearSuspicion(hostId);
     },
     acknowledged(hostId, sent) {
       if (probes.get(sent)?.hostId !== hostId) return;
--- a/src/coordination/fair_share.ts
+++ b/src/coordination/fair_share.ts
@@ -1,16 +1,16 @@
-/** Shares a limited rate, such as the weight store's, between its users. */
+/** Divides a limited rate, such as the weight store's, between its users. */
 
 import type {Clock} from '../ports/clock.js';
 
 export interface RateDemand {
   readonly name: string;
-  /** Units a second that it could use now. */
+  /** Units per second that the user could consume now. */
   readonly wanted: number;
 }
 
 /**
- * Max-min fair: nobody gets more than it wants, and what it leaves goes to the
- * others in equal parts.
+ * Computes max-min fair shares: no user receives more than it wants, and the
+ * remainder is divided evenly between the others.
  */
 export function shareFairly(
   total: number,
@@ -29,13 +29,13 @@
 }
 
 export interface SpendLimit {
-  /** Whether `amount` may be spent now; if so it is. */
+  /** Spends `amount` if allowed now; returns whether it was spent. */
   spend(amount: number): boolean;
 }
 
 /**
- * Lets an amount go as soon as the ones before it are paid for, so that one
- * larger than a second's rate is not held up for ever.
+ * Allows an amount as soon as the earlier ones are repaid at the given rate, so
+ * that an amount larger than one second's rate is not blocked forever.
  */
 export function createSpendLimit(
   clock: Clock,
--- a/src/coordination/gossip_queue.ts
+++ b/src/coordination/gossip_queue.ts
@@ -1,16 +1,16 @@
 /**
- * Updates on their way to all members. Each rides on a bounded number of
- * datagrams that are sent anyway, so many changes at once cost time and not
- * bytes.
+ * Queue of updates to be distributed to all members. Each update is piggybacked
+ * on a bounded number of regular datagrams, so a burst of changes takes longer
+ * to spread but does not increase traffic.
  */
 
 export interface GossipQueue<T> {
   /** Replaces an older update of the same key. */
   add(key: string, update: T, sizeBytes: number): void;
-  /** Takes updates, the least sent first, that fit into `roomBytes`. */
+  /** Takes updates that fit into `roomBytes`, the least sent first. */
   take(roomBytes: number, memberCount: number): readonly T[];
-  /** Others spread it too, so this host may stop sooner. */
-  heardAgain(key: string): void;
+  /** Reports that another host sent the update, so fewer sends are needed. */
+  recordEcho(key: string): void;
   size(): number;
 }
 
@@ -20,12 +20,12 @@
   sentCount: number;
 }
 
-/** Sends beyond the natural logarithm of the member count, against loss. */
+/** Sends beyond the natural logarithm of the member count, to cover loss. */
 const EXTRA_SENDS = 5;
-/** Sends that hearing an update back from another saves. */
+/** Sends saved each time another host sends the same update. */
 const SENDS_SAVED_BY_ECHO = 0.5;
-/** Entries looked at for each datagram; bounds the work of a long queue. */
-const MAX_SCAN = 64;
+/** Entries examined per datagram; bounds the work for a long queue. */
+const MAX_SCANNED_ENTRIES = 64;
 
 export function createGossipQueue<T>(): GossipQueue<T> {
   const entries = new Map<string, Entry<T>>();
@@ -33,7 +33,7 @@
   function pick(roomBytes: number): string[] {
     let leftBytes = roomBytes;
     const candidates = [...entries]
-      .slice(0, MAX_SCAN)
+      .slice(0, MAX_SCANNED_ENTRIES)
       .sort(([, a], [, b]) => a.sentCount - b.sentCount);
     const picked: string[] = [];
     for (const [key, entry] of candidates) {
@@ -56,12 +56,12 @@
         const entry = entries.get(key)!;
         entry.sentCount++;
         entries.delete(key);
-        // Back at the end, so that a long queue goes round.
+        // Requeued at the end, since only the first entries are examined.
         if (entry.sentCount < limit) entries.set(key, entry);
         return entry.update;
       });
     },
-    heardAgain(key) {
+    recordEcho(key) {
       const entry = entries.get(key);
       if (entry) entry.sentCount += SENDS_SAVED_BY_ECHO;
     },
--- a/src/coordination/lease.ts
+++ b/src/coordination/lease.ts
@@ -1,8 +1,8 @@
 /**
- * Named leases in the platform's table: takes, renews and gives them up.
+ * Acquires, renews and releases named leases in the platform's table.
  *
- * All renewals of a host go in one write and all watched rows in one read, so
- * the load on the platform follows the number of holders, not of leases.
+ * A host renews all its leases in one write and reads all watched rows in one
+ * read, so the load on the platform grows with hosts, not with leases.
  */
 
 import type {Clock, TimerHandle} from '../ports/clock.js';
@@ -51,28 +51,28 @@
 export interface HeldLease {
   readonly name: string;
   readonly fence: Fence;
-  /** How long this host may still act under the fence. */
+  /** Remaining time during which this host may use the fence. */
   readonly leftMs: number;
 }
 
 export interface LeaseKeeper {
   start(): void;
-  /** Takes the lease as soon as the rules let it, and keeps it. */
+  /** Acquires the lease as soon as the rules allow it, and renews it. */
   want(name: string): void;
   /**
-   * Observes a lease that this host is next in line for, without taking it,
-   * so that a later `want` need not wait a whole lease again.
+   * Observes a lease without acquiring it, so that a later `want` does not
+   * have to wait for a whole lease duration.
    */
   watch(name: string): void;
-  /** Stops wanting or watching it; gives it up if held. Resolves once tried. */
+  /** Stops watching the lease and releases it if held; resolves afterwards. */
   release(name: string, successor?: string): Promise<void>;
-  /** Looks at the lease now: news came that it is free or its holder dead. */
+  /** Reads the lease now, for example after its holder was reported dead. */
   nudge(name: string): void;
-  /** The fence, while this host may act under it by its own clock. */
+  /** Returns the fence while the lease is held according to this host's clock. */
   currentFence(name: string): Fence | undefined;
   held(): readonly HeldLease[];
   readonly changes: ChangeChannel<LeaseChange>;
-  /** Gives all leases up and stops. */
+  /** Releases all leases and stops. */
   stop(): Promise<void>;
 }
 
@@ -83,11 +83,11 @@
   held: HeldRow | undefined;
   heldUntilMs: number;
   expiry: TimerHandle | undefined;
-  /** A write on this lease has not ended; the loop leaves it alone. */
+  /** A write to this lease is in progress, so renewals and checks skip it. */
   isBusy: boolean;
 }
 
-/** Renewals and looks in one lease time: two may fail and it still holds. */
+/** Renewals and checks per lease duration; two in a row may fail. */
 const TICKS_PER_LEASE = 3;
 const TICK_JITTER = 0.2;
 const RELEASE_ATTEMPTS = 3;
@@ -105,7 +105,7 @@
   let tickTimer: TimerHandle | undefined;
   let isStopped = false;
   let isRenewing = false;
-  let isLooking = false;
+  let isChecking = false;
 
   function lose(
     state: LeaseState,
@@ -128,8 +128,8 @@
     state.expiry = clock.setTimer(leftMs, () => lose(state, 'expired'));
   }
 
-  // A pause of the process can end between the expiry and its timer's run;
-  // the time itself is checked at each use so that the holder notices first.
+  // The expiry timer may run late after a pause of the process, so each use
+  // checks the clock as well.
   const isHeldNow = (state: LeaseState) =>
     state.held !== undefined && clock.nowMs() < state.heldUntilMs;
 
@@ -166,7 +166,7 @@
     const written = transaction.writes[0];
     if (written.kind !== 'put') return;
     const record = parseLeaseRow({key, version, value: written.value});
-    // Counted from the send: the row may be as old as that.
+    // The row may have been written as early as the send.
     extend(state, {name: state.name, version, record}, sentAtMs);
     if (!isHeldNow(state)) {
       lose(state, 'expired');
@@ -189,10 +189,10 @@
     const transaction = buildRenewal(rows, attemptId);
     const outcome = await table.transact(transaction, use);
     isRenewing = false;
-    await endRenewal(due, rows, outcome, attemptId, sentAtMs);
+    await handleRenewalOutcome(due, rows, outcome, attemptId, sentAtMs);
   }
 
-  async function endRenewal(
+  async function handleRenewalOutcome(
     due: readonly LeaseState[],
     rows: readonly HeldRow[],
     outcome: WriteOutcome,
@@ -202,7 +202,7 @@
     switch (outcome.kind) {
       case 'applied':
         due.forEach((state, index) => {
-          // Released or lost while the renewal was on its way.
+          // The lease was released or lost while the renewal was in flight.
           if (state.held !== rows[index]) return;
           const {name, version, record} = rows[index];
           const next = {name, version: version + 1, record};
@@ -211,15 +211,15 @@
         return;
       case 'rejected':
       case 'unknown':
-        await reread(due, rows, sentAtMs, attemptId);
+        await rereadRows(due, rows, sentAtMs, attemptId);
         return;
       case 'refused':
         return;
     }
   }
 
-  /** Finds out which of our rows still are ours, and at which version. */
-  async function reread(
+  /** Checks which rows this host still holds, and at which version. */
+  async function rereadRows(
     due: readonly LeaseState[],
     rows: readonly HeldRow[],
     sentAtMs: number,
@@ -241,13 +241,14 @@
       } else if (record.attemptId === attemptId) {
         extend(state, {...held, version: row.version, record}, sentAtMs);
       } else {
-        // An earlier renewal applied late. It proves the term, not the time.
+        // An earlier renewal was applied late. The lease is still held, but its
+        // expiry cannot be extended.
         state.held = {...held, version: row.version, record};
       }
     });
   }
 
-  async function look(names: readonly string[]): Promise<void> {
+  async function checkLeases(names: readonly string[]): Promise<void> {
     const wanted = names
       .map(name => states.get(name))
       .filter(state => state && !state.held && !state.isBusy);
@@ -257,11 +258,13 @@
     if (outcome.kind === 'failed' || isStopped) return;
     const rows = toRowMap(outcome.value);
     await Promise.all(
-      wanted.map(state => consider(state!, rows.get(getLeaseKey(state!.name)))),
+      wanted.map(state =>
+        takeIfAllowed(state!, rows.get(getLeaseKey(state!.name))),
+      ),
     );
   }
 
-  async function consider(
+  async function takeIfAllowed(
     state: LeaseState,
     row: TableRow | undefined,
   ): Promise<void> {
@@ -278,15 +281,15 @@
     if (nowMs >= atMs) {
       await take(state, row);
     } else if (atMs - nowMs < tickMs) {
-      clock.setTimer(atMs - nowMs, () => void look([state.name]));
+      clock.setTimer(atMs - nowMs, () => void checkLeases([state.name]));
     }
   }
 
-  async function lookAtAll(): Promise<void> {
-    if (isLooking) return;
-    isLooking = true;
-    await look([...states.keys()]);
-    isLooking = false;
+  async function checkAllLeases(): Promise<void> {
+    if (isChecking) return;
+    isChecking = true;
+    await checkLeases([...states.keys()]);
+    isChecking = false;
   }
 
   function scheduleTick(): void {
@@ -295,23 +298,26 @@
     tickTimer = clock.setTimer(tickMs * jitter, () => {
       scheduleTick();
       void renewAll();
-      void lookAtAll();
+      void checkAllLeases();
     });
   }
 
-  async function giveUp(state: LeaseState, successor: string): Promise<void> {
+  async function releaseHeld(
+    state: LeaseState,
+    successor: string,
+  ): Promise<void> {
     let held = state.held;
-    // Stop acting first; only then may another start.
+    // This host must stop using the lease before another may acquire it.
     lose(state, 'released');
     for (let attempt = 0; held && attempt < RELEASE_ATTEMPTS; attempt++) {
       const transaction = buildRelease(held, successor, random.nextId());
       const outcome = await table.transact(transaction, use);
       if (outcome.kind === 'applied') return;
-      // A renewal that was on its way moved the version on; or the answer was
-      // lost, and then the epoch read back says whether it applied.
+      // A concurrent renewal changed the version, or the answer was lost; the
+      // epoch read back shows whether the release was applied.
       held = await readOwnRow(state.name, held.record.epoch);
     }
-    if (held) log?.warn(`Lease ${state.name} not released; it will lapse.`);
+    if (held) log?.warn(`Lease ${state.name} not released; it will expire.`);
   }
 
   async function readOwnRow(
@@ -346,7 +352,7 @@
     const state = states.get(name);
     if (!state) return;
     states.delete(name);
-    await giveUp(state, successor);
+    await releaseHeld(state, successor);
   }
 
   return {
@@ -354,14 +360,14 @@
     want(name) {
       if (isStopped || states.get(name)?.isWanted) return;
       getState(name).isWanted = true;
-      void look([name]);
+      void checkLeases([name]);
     },
     watch(name) {
       if (!isStopped) getState(name);
     },
     release,
     nudge(name) {
-      void look([name]);
+      void checkLeases([name]);
     },
     currentFence(name) {
       const state = states.get(name);
--- a/src/coordination/lease_rules.ts
+++ b/src/coordination/lease_rules.ts
@@ -1,12 +1,12 @@
 /**
- * Pure rules of a lease: its row, who may take it and when, and how long its
- * holder may believe in it. The model checker drives these same functions.
+ * Pure rules of a lease: its row, who may acquire it and when, and how long it
+ * is valid for its holder. The model checker runs these functions.
  *
- * Clocks are never compared between hosts. A holder counts from just before
- * it sent the write; a taker counts from just after it first saw the row, and
- * each allows for the bound on the difference of their clocks' rates. So the
- * holder has stopped before any taker starts, unless the holder is paused
- * between its own check and its act: then the epoch in the table refuses it.
+ * Clocks are never compared between hosts. A holder measures from just before
+ * it sent the write, another host from just after it first read the row, and
+ * both allow for the bound on the difference of their clock rates. The holder
+ * therefore stops before another host starts. If the holder is paused between
+ * its own check and its action, the epoch in the table rejects the action.
  */
 
 import type {
@@ -16,11 +16,11 @@
   TableTransaction,
 } from '../ports/table.js';
 
-/** A past term of a lease, for people who read the row. */
+/** A term of a lease, kept in the row for diagnosis. */
 export interface LeaseTerm {
   readonly holder: string;
   readonly epoch: number;
-  /** Wall clock of the holder; never used in decisions. */
+  /** Wall clock of the holder; informational only. */
   readonly fromWallMs: number;
 }
 
@@ -28,11 +28,11 @@
 export interface LeaseRecord {
   /** Empty when the lease is free. */
   readonly holder: string;
-  /** Grows with each take and each release. */
+  /** Grows with each acquisition and each release. */
   readonly epoch: number;
-  /** Host that alone may take a free lease without waiting; empty: any. */
+  /** The only host that may acquire a free lease at once; empty for any host. */
   readonly successor: string;
-  /** The write that made this row. */
+  /** Identifies the write that created this version of the row. */
   readonly attemptId: string;
   /** Newest last. */
   readonly terms: readonly LeaseTerm[];
@@ -40,27 +40,27 @@
 
 export interface LeaseTiming {
   readonly leaseMs: number;
-  /** Bound on the difference of clock rates between hosts, as a share. */
+  /** Bound on the relative difference of clock rates between hosts. */
   readonly clockRateError: number;
 }
 
-/** When this host first saw the row at this version, on its own clock. */
+/** When this host first read the row at this version, on its own clock. */
 export interface LeaseObservation {
   readonly version: number;
   readonly firstSeenMs: number;
 }
 
-/** Proof of a term, for writes and orders made under the lease. */
+/** Fencing token of a term, for writes and orders made under the lease. */
 export interface Fence {
   readonly epoch: number;
-  /** Add it to each transaction; the table refuses a former holder by it. */
+  /** Added to each transaction so that the table rejects a former holder. */
   readonly condition: TableCondition;
 }
 
 const MAX_TERMS = 8;
 /**
- * A take a second for half a year. Engines may keep fences in 32 bits, which
- * leaves room for 127 eras.
+ * Enough for one acquisition per second over half a year. Engines may store
+ * fences in 32 bits, which leaves room for 127 eras.
  */
 const EPOCHS_PER_ERA = 2 ** 24;
 const KEY_PREFIX = 'lease/';
@@ -77,7 +77,7 @@
   };
 }
 
-/** Reads a lease row; a malformed field counts as its empty value. */
+/** Parses a lease row; a malformed field is replaced by an empty value. */
 export function parseLeaseRow(row: TableRow): LeaseRecord {
   const {holder, epoch, successor, attemptId, terms} = row.value;
   return {
@@ -96,7 +96,7 @@
   };
 }
 
-/** Keeps the first sight of a version; a new version starts a new one. */
+/** Keeps the observation of a version until the version changes. */
 export function observe(
   before: LeaseObservation | undefined,
   version: number,
@@ -106,12 +106,12 @@
   return {version, firstSeenMs: nowMs};
 }
 
-/** Until when a holder may act on its own clock, given when it sent. */
+/** Returns when the lease expires for its holder, on the holder's clock. */
 export function getHeldUntilMs(sentAtMs: number, timing: LeaseTiming): number {
   return sentAtMs + timing.leaseMs * (1 - timing.clockRateError);
 }
 
-/** Earliest time on the taker's clock at which the row may be taken. */
+/** Returns the earliest time, on this host's clock, to acquire the lease. */
 export function getTakeableAtMs(
   record: LeaseRecord,
   observation: LeaseObservation,
@@ -124,16 +124,16 @@
 }
 
 /**
- * The epoch of the next term. Where the table came back from an older copy, its
- * row has a lower epoch than fences that were given out before; each era has
- * its own range of epochs, above those of all earlier ones.
+ * Returns the epoch of the next term. A table restored from an older copy may
+ * hold a lower epoch than fences issued before, so each era has its own range
+ * of epochs above those of all earlier eras.
  */
 export function getNextEpoch(row: TableRow | undefined, tableEra = 0): number {
   const epoch = row ? parseLeaseRow(row).epoch : 0;
   return Math.max(epoch, tableEra * EPOCHS_PER_ERA) + 1;
 }
 
-/** A write that takes the lease from `row`, or creates it. */
+/** Builds the write that acquires the lease at `row`, or creates its row. */
 export function buildTake(
   name: string,
   row: TableRow | undefined,
@@ -159,14 +159,14 @@
   };
 }
 
-/** A held lease as its holder knows the row. */
+/** The row of a held lease as last known to its holder. */
 export interface HeldRow {
   readonly name: string;
   readonly version: number;
   readonly record: LeaseRecord;
 }
 
-/** One write that renews all `rows`; it applies to all or to none. */
+/** Builds one write that renews all `rows` atomically. */
 export function buildRenewal(
   rows: readonly HeldRow[],
   attemptId: string,
@@ -187,8 +187,9 @@
 }
 
 /**
- * A write that gives the lease up. The epoch grows here too: without it a
- * write still on its way under the old fence would pass until the next take.
+ * Builds the write that releases the lease. It increments the epoch, because a
+ * write in flight under the old fence would otherwise be accepted until the
+ * next acquisition.
  */
 export function buildRelease(
   row: HeldRow,
--- a/src/coordination/member_records.ts
+++ b/src/coordination/member_records.ts
@@ -1,6 +1,6 @@
 /**
- * What is known of a member, and which of two records is newer. Records form
- * an order, so that they may arrive late, twice and in any order.
+ * Member records and the order between them. Since any two records of a member
+ * are ordered, they may arrive late, repeatedly and out of order.
  */
 
 import {hashText} from '../core/hash_text.js';
@@ -9,21 +9,21 @@
 
 export interface Member {
   readonly hostId: string;
-  /** For our own processes, `ip:port`. */
+  /** Address for peers, `ip:port`. */
   readonly address: string;
-  /** For callers, `ip:port`; empty while only the host list names the host. */
+  /** Address for callers, `ip:port`; empty if known only from the host list. */
   readonly callerAddress: string;
   readonly failureDomain: string;
-  /** Grows with each start of the process; 0 while only listed. */
+  /** Grows with each start of the process; 0 if known only from the list. */
   readonly incarnation: number;
-  /** Grows when the member contradicts a suspicion or changes its state. */
+  /** Grows when the member refutes a suspicion or changes its state. */
   readonly refutation: number;
   readonly state: MemberState;
 }
 
 /**
- * At the same refutation a later state wins. Only the member itself can go
- * back, by a higher refutation.
+ * At the same refutation the higher rank wins. Only the member itself can
+ * return to a lower rank, by a higher refutation.
  */
 const stateRanks: Readonly<Record<MemberState, number>> = {
   alive: 0,
@@ -33,7 +33,7 @@
   left: 4,
 };
 
-/** Whether `next` says something later than `before`. */
+/** Whether the record `next` supersedes `before`. */
 export function isNewer(next: Member, before: Member): boolean {
   if (next.incarnation !== before.incarnation) {
     return next.incarnation > before.incarnation;
@@ -44,7 +44,7 @@
   return stateRanks[next.state] > stateRanks[before.state];
 }
 
-/** The newer record, with the details of the older where it has none. */
+/** Returns the newer record, completed with details of the older one. */
 export function mergeMember(before: Member, next: Member): Member {
   if (!isNewer(next, before)) {
     const isFilled = before.callerAddress !== '' || next.callerAddress === '';
@@ -58,17 +58,17 @@
   return {...record, address, callerAddress, failureDomain};
 }
 
-/** Whether the member may be given anything new to do. */
+/** Whether the member may receive new work. */
 export function isUsable(member: Member): boolean {
   return member.state === 'alive' || member.state === 'suspect';
 }
 
-/** Whether the member is thought to run. */
+/** Whether the member is believed to be running. */
 export function isRunning(member: Member): boolean {
   return member.state !== 'dead' && member.state !== 'left';
 }
 
-/** A part of the members: those whose hash begins with `bucket`. */
+/** The members whose hash begins with the `bits` bits of `bucket`. */
 export interface Bucket {
   readonly bits: number;
   readonly bucket: number;
@@ -79,7 +79,7 @@
   return hostHash >>> (32 - bucket.bits) === bucket.bucket;
 }
 
-/** Differs, but for chance, when two hosts know different things. */
+/** Returns a digest that differs, barring collisions, if the records differ. */
 export function digestMembers(members: Iterable<Member>): number {
   let digest = 0;
   for (const member of members) {
--- a/src/coordination/member_table.ts
+++ b/src/coordination/member_table.ts
@@ -1,4 +1,4 @@
-/** The records of all members that this host knows, itself included. */
+/** The records of all members known to this host, including itself. */
 
 import {hashText} from '../core/hash_text.js';
 import type {Clock} from '../ports/clock.js';
@@ -15,7 +15,7 @@
 } from './member_records.js';
 
 export interface MemberChange {
-  /** Undefined when the member was not known. */
+  /** Undefined if the member was unknown. */
   readonly before: Member | undefined;
   readonly member: Member;
 }
@@ -23,17 +23,17 @@
 export interface MemberTable {
   self(): Member;
   get(hostId: string): Member | undefined;
-  /** Members thought to run, this host included; a stable snapshot. */
+  /** Returns a snapshot of the members believed to run, including this host. */
   running(): readonly Member[];
-  /** Members thought dead or gone, while they are remembered. */
+  /** Returns the members believed dead or gone that are still remembered. */
   gone(): readonly Member[];
-  /** Merges a record heard from anyone. Contradicts one against this host. */
+  /** Merges a received record; refutes one that declares this host failed. */
   apply(record: Member): void;
   setSelfState(state: MemberState): void;
   inBucket(bucket: Bucket): readonly Member[];
   digest(bucket: Bucket): number;
-  /** Forgets members that have long been gone. */
-  forgetGone(olderThanMs: number): void;
+  /** Removes members that have been gone for longer than `olderThanMs`. */
+  removeGone(olderThanMs: number): void;
   readonly changes: ChangeChannel<MemberChange>;
 }
 
@@ -63,15 +63,15 @@
 
   const getSelf = () => entries.get(selfId)!.member;
 
-  /** A slow host answers a suspicion by a record that is newer than it. */
-  function contradict(record: Member): void {
+  /** Supersedes a record of this host that claims a different state. */
+  function refute(record: Member): void {
     const self = getSelf();
     if (!isNewer(record, self)) return;
     if (record.incarnation > self.incarnation) {
-      // An earlier process of this host whose clock ran ahead.
+      // The record is of an earlier process of this host whose clock was ahead.
       set({...self, incarnation: record.incarnation + 1, refutation: 0});
     } else if (record.state === 'leaving' && self.state === 'alive') {
-      // The platform wants this host gone and a peer read that first.
+      // A peer read from the host list that this host is to leave.
       set({...self, state: 'leaving', refutation: record.refutation + 1});
     } else {
       set({...self, refutation: record.refutation + 1});
@@ -98,11 +98,11 @@
         .filter(member => !isRunning(member)),
     apply(record) {
       if (record.hostId === selfId) {
-        contradict(record);
+        refute(record);
         return;
       }
       const before = entries.get(record.hostId)?.member;
-      // It could not be probed; its whole record follows by gossip or repair.
+      // It has no address to probe; its full record follows by gossip or repair.
       if (!before && record.address === '' && isRunning(record)) return;
       const merged = before ? mergeMember(before, record) : record;
       if (merged !== before) set(merged);
@@ -114,7 +114,7 @@
     },
     inBucket: find,
     digest: bucket => digestMembers(find(bucket)),
-    forgetGone(olderThanMs) {
+    removeGone(olderThanMs) {
       const beforeMs = clock.nowMs() - olderThanMs;
       for (const [hostId, entry] of entries) {
         if (isRunning(entry.member) || entry.changedAtMs > beforeMs) continue;
--- a/src/coordination/membership.ts
+++ b/src/coordination/membership.ts
@@ -1,11 +1,11 @@
 /**
- * Which of our own processes run, agreed by gossip over datagrams, and the
- * facts that ride along.
+ * Tracks which router hosts are running, by gossip over datagrams, and
+ * distributes facts on the same datagrams.
  *
- * What is sent is bounded for each datagram and, by a token bucket, for each
- * second; a hundred deaths at once make news travel longer, not louder.
- * Digests of a part of the members on each ping find and mend differences
- * that lost datagrams or a split of the network left behind.
+ * Traffic is bounded per datagram and, by a token bucket, per second; a burst
+ * of failures delays updates but does not increase traffic. Each ping carries
+ * a digest of some members, which detects and repairs differences left by lost
+ * datagrams or network partitions.
  */
 
 import type {Clock, TimerHandle} from '../ports/clock.js';
@@ -15,7 +15,7 @@
 import {createByteBudget} from './byte_budget.js';
 import type {ChangeChannel} from './change_channel.js';
 import {createDatagramSealer} from './datagram_seal.js';
-import {createFactSpread, type FactStore} from './facts.js';
+import {createFactGossip, type FactStore} from './facts.js';
 import {createFailureDetector} from './failure_detector.js';
 import {createGossipQueue} from './gossip_queue.js';
 import {
@@ -48,15 +48,15 @@
 export interface MembershipOptions {
   readonly hostId: string;
   readonly failureDomain: string;
-  /** Where our own processes reach this one, `ip:port`. */
+  /** Address for peers, `ip:port`. */
   readonly address: string;
-  /** Where callers reach this one, `ip:port`. */
+  /** Address for callers, `ip:port`. */
   readonly callerAddress: string;
-  /** Secret shared by our own processes. */
+  /** Secret shared by all peers. */
   readonly peerKey: string;
   readonly probeIntervalMs: number;
   readonly suspicionMs: number;
-  /** Bytes sent a second, headers of UDP and IP included. */
+  /** Bytes sent per second, including UDP and IP headers. */
   readonly sendBudgetBytesPerSecond?: number;
 }
 
@@ -70,17 +70,17 @@
 
 export interface Membership {
   start(): void;
-  /** Hosts to begin with, and hosts that are leaving. Call it for each list. */
+  /** Adds hosts of a host list and marks those that are leaving. */
   applyHostList(hosts: readonly ListedHost[]): void;
-  /** Members thought to run, this host included. */
+  /** Returns the members believed to be running, including this host. */
   members(): readonly Member[];
   get(hostId: string): Member | undefined;
   self(): Member;
   readonly changes: ChangeChannel<MemberChange>;
   readonly facts: FactStore;
-  /** Tells all that this host takes no new work. It goes on answering. */
+  /** Announces that this host takes no new work; it still answers probes. */
   leave(): void;
-  /** Says goodbye if `leave` was called, and stops. */
+  /** Announces the departure if `leave` was called, and stops. */
   stop(): void;
   counts(): MembershipCounts;
 }
@@ -88,27 +88,27 @@
 /** IP and UDP headers. */
 const HEADER_BYTES = 28;
 const DEFAULT_BUDGET_BYTES_PER_SECOND = 900;
-/** For pages, which only hosts that start ask for. */
+/** Budget for pages, which are mostly requested by starting hosts. */
 const PAGE_BUDGET_BYTES_PER_SECOND = 2_000;
-/** After this a host counts as settled whatever it lacks. */
+/** A host counts as settled after this time even if members are missing. */
 const SETTLE_MS = 60_000;
 const MAX_PIGGYBACK_BYTES = 380;
-/** Part of the room that facts to pass on may take before members. */
+/** Share of the space that relayed facts may use before member records. */
 const RELAYED_FACTS_SHARE = 0.4;
 const MAX_REPAIR_BYTES = 700;
 const MAX_PAGE_BYTES = 1_000;
 const MEMBERS_PER_BUCKET = 8;
-const FAREWELL_FANOUT = 24;
-/** Members told soon after this host hears news, beside the regular pings. */
-const NEWS_FANOUT = 4;
-/** News that come together go together. */
-const NEWS_DELAY_MS = 20;
-/** Part of a second of the budget that must be left for it. */
-const NEWS_BUDGET_SHARE = 0.4;
-const RELAY_MEMORY = 256;
-/** How often a member thought gone is pinged, so that a split heals. */
-const RECONTACT_MS = 2_000;
-const FORGET_GONE_MS = 600_000;
+const LEAVE_FANOUT = 24;
+/** Members sent an update immediately, in addition to the regular pings. */
+const UPDATE_FANOUT = 4;
+/** Collects updates that arrive within this time into one datagram. */
+const UPDATE_DELAY_MS = 20;
+/** Share of a second's budget that must be available for it. */
+const UPDATE_BUDGET_SHARE = 0.4;
+const MAX_PENDING_RELAYS = 256;
+/** Interval of pings to members believed gone, to repair partitions. */
+const RECONTACT_INTERVAL_MS = 2_000;
+const GONE_RETENTION_MS = 600_000;
 
 const sumBytes = (list: readonly Member[]) =>
   list.reduce((sum, member) => sum + getMemberSizeBytes(member), 0);
@@ -135,10 +135,10 @@
     refutation: 0,
     state: 'alive',
   });
-  const facts = createFactSpread(clock, () => scheduleNews());
-  /** Changes of state go before joins, which the host list shows as well. */
-  const stateNews = createGossipQueue<string>();
-  const joinNews = createGossipQueue<string>();
+  const facts = createFactGossip(clock, () => scheduleUpdates());
+  /** State changes are sent before joins, which the host list also contains. */
+  const stateUpdates = createGossipQueue<string>();
+  const joinUpdates = createGossipQueue<string>();
   const relays = new Map<number, Relay>();
   const counts = {
     sentBytes: 0,
@@ -153,10 +153,10 @@
   const pageBudget = createByteBudget(clock, PAGE_BUDGET_BYTES_PER_SECOND);
   const startedAtMs = clock.nowMs();
   let relaySequence = random.nextInt(2 ** 30) + 2 ** 31;
-  let bucketTurn = random.nextInt(2 ** 16);
+  let lastBucket = random.nextInt(2 ** 16);
   let isStopped = false;
-  let isNewsScheduled = false;
-  /** What a page says is known to others already and not passed on. */
+  let areUpdatesScheduled = false;
+  /** Records from a page are known to other members and are not forwarded. */
   let isReadingPage = false;
   const timers = new Set<TimerHandle>();
 
@@ -176,7 +176,7 @@
   );
 
   const pages = createPageReader({
-    later: (delayMs, act) => later(delayMs, act),
+    schedule: (delayMs, callback) => schedule(delayMs, callback),
     running: () => members.running(),
     request(cursor) {
       const peer = pickOther(members.running());
@@ -190,63 +190,67 @@
       before.state !== member.state ||
       before.refutation !== member.refutation ||
       before.incarnation !== member.incarnation;
-    // A host known from the list alone is known to all from the same list.
+    // All members read the same host list, so its entries are not forwarded.
     if (!isNews || member.incarnation === 0) return;
     const {hostId} = member;
     const isJoin = member.state === 'alive' && member.refutation === 0;
     const isOwn = hostId === options.hostId;
     if (isJoin && !isOwn && (isReadingPage || !isSettled())) return;
-    // A suspicion is not urgent: its finder decides, and tells the suspect.
-    if (member.state !== 'suspect') scheduleNews();
-    if (isJoin) joinNews.add(hostId, hostId, getMemberSizeBytes(member));
+    // A suspicion is not urgent: its originator decides and tells the suspect.
+    if (member.state !== 'suspect') scheduleUpdates();
+    if (isJoin) joinUpdates.add(hostId, hostId, getMemberSizeBytes(member));
     else
-      stateNews.add(hostId, hostId, getMemberSizeBytes(withoutDetails(member)));
+      stateUpdates.add(
+        hostId,
+        hostId,
+        getMemberSizeBytes(withoutDetails(member)),
+      );
   });
 
   /**
-   * A host that starts learns the others from pages. Were it to pass them on
-   * as news too, a mass start would fill every datagram for minutes.
+   * A starting host learns the other members from pages and does not forward
+   * them; otherwise a mass start would fill every datagram for minutes.
    */
   const isSettled = () =>
     pages.hasAll() || clock.nowMs() - startedAtMs > SETTLE_MS;
 
-  /** Those that a new host meets first learn its addresses from itself. */
+  /** A new host sends its addresses with its record for some time. */
   function getOwnSender(): Member {
     const isNew = clock.nowMs() - startedAtMs < SETTLE_MS / 2;
     return isNew ? members.self() : withoutDetails(members.self());
   }
 
-  function takeNews(roomBytes: number): readonly Member[] {
+  function takeUpdates(roomBytes: number): readonly Member[] {
     const memberCount = members.running().length;
-    const urgent = stateNews
+    const urgent = stateUpdates
       .take(roomBytes, memberCount)
       .flatMap(hostId => members.get(hostId) ?? [])
       .map(withoutDetails);
     const leftBytes = roomBytes - sumBytes(urgent);
-    const joins = joinNews
+    const joins = joinUpdates
       .take(leftBytes, memberCount)
       .flatMap(hostId => members.get(hostId) ?? []);
     return [...urgent, ...joins];
   }
 
-  interface Riders {
+  interface Piggyback {
     readonly members: readonly Member[];
     readonly facts: readonly SentFact[];
   }
 
-  /** What rides on a datagram: facts to pass on, members, then own facts. */
-  function takeRiders(roomBytes: number, hasOwnSender: boolean): Riders {
+  /** Takes relayed facts, member updates and own facts, in this order. */
+  function takePiggyback(roomBytes: number, hasOwnSender: boolean): Piggyback {
     if (roomBytes <= 0) return {members: [], facts: []};
     const memberCount = members.running().length;
-    // A relayed answer names another sender, which facts are not from.
+    // A relayed answer carries another sender, so it must not carry own facts.
     const relayed = hasOwnSender
       ? facts.takeRelayed(roomBytes * RELAYED_FACTS_SHARE, memberCount)
       : [];
     let leftBytes = roomBytes - sumFactBytes(relayed);
-    const spread = takeNews(leftBytes);
-    leftBytes -= sumBytes(spread);
+    const updates = takeUpdates(leftBytes);
+    leftBytes -= sumBytes(updates);
     const own = hasOwnSender ? facts.takeOwn(leftBytes) : [];
-    return {members: spread, facts: [...relayed, ...own]};
+    return {members: updates, facts: [...relayed, ...own]};
   }
 
   interface SendExtra {
@@ -255,16 +259,16 @@
     readonly digest?: MembershipMessage['digest'];
     readonly cursor?: string;
     readonly members?: readonly Member[];
-    /** Sent in place of this host's own record, for a relayed answer. */
+    /** Replaces this host's own record in a relayed answer. */
     readonly sender?: Member;
   }
 
   function send(address: string, kind: DatagramName, extra: SendExtra): void {
     if (address === '' || isStopped) return;
-    const given = extra.members ?? [];
+    const requiredMembers = extra.members ?? [];
     const roomBytes =
-      Math.min(MAX_PIGGYBACK_BYTES, budget.left()) - sumBytes(given);
-    const riders = takeRiders(roomBytes, extra.sender === undefined);
+      Math.min(MAX_PIGGYBACK_BYTES, budget.left()) - sumBytes(requiredMembers);
+    const piggyback = takePiggyback(roomBytes, extra.sender === undefined);
     const datagram = codec.encode({
       kind,
       sequence: extra.sequence ?? 0,
@@ -272,8 +276,8 @@
       targetAddress: extra.targetAddress,
       digest: extra.digest,
       cursor: extra.cursor,
-      members: [...given, ...riders.members],
-      facts: riders.facts,
+      members: [...requiredMembers, ...piggyback.members],
+      facts: piggyback.facts,
     });
     const sizeBytes = datagram.length + HEADER_BYTES;
     counts.sentDatagrams++;
@@ -285,36 +289,36 @@
   function nextBucket(): Bucket {
     const buckets = Math.max(1, members.running().length / MEMBERS_PER_BUCKET);
     const bits = Math.ceil(Math.log2(buckets));
-    bucketTurn = (bucketTurn + 1) % 2 ** bits;
-    return {bits, bucket: bucketTurn};
+    lastBucket = (lastBucket + 1) % 2 ** bits;
+    return {bits, bucket: lastBucket};
   }
 
   function sendPing(target: Member, sequence: number): void {
     const of = nextBucket();
-    // Tells the target what is held against it, so that it can contradict.
-    const isAccused = target.state === 'suspect' || !isRunning(target);
+    // Includes the record of a suspected target so that it can refute it.
+    const isSuspectedOrGone = target.state === 'suspect' || !isRunning(target);
     send(target.address, 'ping', {
       sequence,
       digest: {of, value: members.digest(of)},
-      members: isAccused ? [withoutDetails(target)] : [],
+      members: isSuspectedOrGone ? [withoutDetails(target)] : [],
     });
   }
 
-  /** Records of the part in which we and the sender differ. */
+  /** Returns the records of a bucket in which this host and the sender differ. */
   function getRepair(message: MembershipMessage): readonly Member[] {
     const digest = message.digest;
     if (!digest || members.digest(digest.of) === digest.value) return [];
     const roomBytes = Math.min(MAX_REPAIR_BYTES, budget.left());
     const found = [...members.inBucket(digest.of)];
-    return fill(rotate(found), roomBytes);
+    return takeFitting(rotateRandomly(found), roomBytes);
   }
 
-  function rotate<T>(items: readonly T[]): readonly T[] {
+  function rotateRandomly<T>(items: readonly T[]): readonly T[] {
     const start = random.nextInt(Math.max(1, items.length));
     return [...items.slice(start), ...items.slice(0, start)];
   }
 
-  function fill(from: readonly Member[], roomBytes: number): Member[] {
+  function takeFitting(from: readonly Member[], roomBytes: number): Member[] {
     let leftBytes = roomBytes;
     const taken: Member[] = [];
     for (const member of from) {
@@ -347,19 +351,19 @@
       relaySequence = 2 ** 31 + ((relaySequence + 1) % 2 ** 31);
       const {sequence} = message;
       relays.set(relaySequence, {requesterAddress: fromAddress, sequence});
-      if (relays.size > RELAY_MEMORY) {
+      if (relays.size > MAX_PENDING_RELAYS) {
         relays.delete(relays.keys().next().value!);
       }
       send(message.targetAddress ?? '', 'ping', {sequence: relaySequence});
     },
     'page-request'(fromAddress, message) {
-      // Over budget: the asker times out and asks another.
+      // Without an answer the requester times out and asks another member.
       if (!pageBudget.mayTake()) return;
       const from = message.cursor ?? '';
       const rest = [...members.running()]
         .filter(member => member.hostId >= from)
         .sort((a, b) => (a.hostId < b.hostId ? -1 : 1));
-      const page = fill(rest, MAX_PAGE_BYTES);
+      const page = takeFitting(rest, MAX_PAGE_BYTES);
       const next = rest.at(page.length)?.hostId ?? '';
       send(fromAddress, 'page', {cursor: next, members: page});
     },
@@ -369,7 +373,7 @@
     news() {},
   };
 
-  function hear(record: Member): void {
+  function applyReceived(record: Member): void {
     const before = members.get(record.hostId);
     members.apply(record);
     const isEcho =
@@ -377,8 +381,8 @@
       before === members.get(record.hostId) &&
       !isNewer(before, record);
     if (!isEcho) return;
-    joinNews.heardAgain(record.hostId);
-    stateNews.heardAgain(record.hostId);
+    joinUpdates.recordEcho(record.hostId);
+    stateUpdates.recordEcho(record.hostId);
   }
 
   function receive(fromAddress: string, datagram: Uint8Array): void {
@@ -392,7 +396,7 @@
     }
     members.apply(message.sender);
     isReadingPage = message.kind === 'page';
-    message.members.forEach(hear);
+    message.members.forEach(applyReceived);
     isReadingPage = false;
     for (const fact of message.facts) {
       facts.receive(fact, message.sender.hostId);
@@ -400,10 +404,10 @@
     handlers[message.kind](fromAddress, message);
   }
 
-  function later(delayMs: number, act: () => void): void {
+  function schedule(delayMs: number, callback: () => void): void {
     const timer = clock.setTimer(delayMs, () => {
       timers.delete(timer);
-      if (!isStopped) act();
+      if (!isStopped) callback();
     });
     timers.add(timer);
   }
@@ -414,32 +418,32 @@
   }
 
   function recontact(): void {
-    members.forgetGone(FORGET_GONE_MS);
+    members.removeGone(GONE_RETENTION_MS);
     const peer = pickOther(members.gone());
     if (peer) sendPing(peer, 0);
-    later(RECONTACT_MS * (0.5 + random.nextFloat()), recontact);
+    schedule(RECONTACT_INTERVAL_MS * (0.5 + random.nextFloat()), recontact);
   }
 
   /**
-   * Passes news on within a few round trips. Under a burst the budget is used
-   * up, and news then only ride on the regular pings.
+   * Sends updates to a few members without waiting for the next ping. If a
+   * burst has used up the budget, updates go out with regular pings only.
    */
-  function scheduleNews(): void {
-    if (isNewsScheduled) return;
-    isNewsScheduled = true;
-    later(NEWS_DELAY_MS * (0.5 + random.nextFloat()), () => {
-      isNewsScheduled = false;
-      if (budget.left() < budgetBytes * NEWS_BUDGET_SHARE) return;
-      for (let i = 0; i < NEWS_FANOUT; i++) {
+  function scheduleUpdates(): void {
+    if (areUpdatesScheduled) return;
+    areUpdatesScheduled = true;
+    schedule(UPDATE_DELAY_MS * (0.5 + random.nextFloat()), () => {
+      areUpdatesScheduled = false;
+      if (budget.left() < budgetBytes * UPDATE_BUDGET_SHARE) return;
+      for (let i = 0; i < UPDATE_FANOUT; i++) {
         const peer = pickOther(members.running());
         if (peer) send(peer.address, 'news', {});
       }
     });
   }
 
-  /** Tells some members at once what all will hear. */
+  /** Sends the latest updates to some members immediately. */
   function announce(fanout: number): void {
-    const others = rotate(members.running()).filter(
+    const others = rotateRandomly(members.running()).filter(
       member => member.hostId !== options.hostId,
     );
     for (const member of others.slice(0, fanout)) {
@@ -447,7 +451,7 @@
     }
   }
 
-  function toSeed(listed: ListedHost): Member {
+  function toListedMember(listed: ListedHost): Member {
     const {hostId, address, failureDomain} = listed;
     return {
       hostId,
@@ -464,16 +468,16 @@
     start() {
       datagrams.onReceive(receive);
       const self = members.self();
-      joinNews.add(self.hostId, self.hostId, getMemberSizeBytes(self));
+      joinUpdates.add(self.hostId, self.hostId, getMemberSizeBytes(self));
       detector.start();
-      later(RECONTACT_MS * random.nextFloat(), recontact);
+      schedule(RECONTACT_INTERVAL_MS * random.nextFloat(), recontact);
       pages.start();
     },
     applyHostList(hosts) {
       for (const listed of hosts) {
         if (listed.role !== 'router') continue;
         const known = members.get(listed.hostId);
-        if (!known) members.apply(toSeed(listed));
+        if (!known) members.apply(toListedMember(listed));
         else if (listed.state === 'leaving' && known.state === 'alive') {
           members.apply({...known, state: 'leaving'});
         }
@@ -486,12 +490,12 @@
     facts,
     leave() {
       members.setSelfState('leaving');
-      announce(FAREWELL_FANOUT);
+      announce(LEAVE_FANOUT);
     },
     stop() {
       if (members.self().state === 'leaving') {
         members.setSelfState('left');
-        announce(FAREWELL_FANOUT);
+        announce(LEAVE_FANOUT);
       }
       isStopped = true;
       detector.stop();
--- a/src/coordination/membership_codec.ts
+++ b/src/coordination/membership_codec.ts
@@ -1,4 +1,4 @@
-/** Between the records of this folder and their protobuf datagrams. */
+/** Converts between member records and protobuf datagrams. */
 
 import {create, fromBinary, toBinary} from '@bufbuild/protobuf';
 import {
@@ -13,7 +13,7 @@
 export type DatagramName =
   'ping' | 'ack' | 'ping-request' | 'page-request' | 'page' | 'news';
 
-/** A fact as it travels; see `facts.ts`. */
+/** A fact in a datagram; see `facts.ts`. */
 export interface SentFact {
   readonly key: string;
   readonly version: number;
@@ -26,10 +26,10 @@
   readonly kind: DatagramName;
   readonly sequence: number;
   readonly sender: Member;
-  /** `ping-request`: whom to ping. */
+  /** `ping-request`: address of the member to ping. */
   readonly targetAddress?: string;
   readonly digest?: {readonly of: Bucket; readonly value: number};
-  /** `page-request` and `page`: host identifier; empty at the begin or end. */
+  /** `page-request` and `page`: host id; empty at the start or the end. */
   readonly cursor?: string;
   readonly members: readonly Member[];
   readonly facts: readonly SentFact[];
@@ -82,12 +82,12 @@
   };
 }
 
-/** Leaves out what only a newcomer needs. */
+/** Removes the details that only new members need. */
 export function withoutDetails(member: Member): Member {
   return {...member, address: '', callerAddress: '', failureDomain: ''};
 }
 
-/** Bytes that a member takes in a datagram, from above. */
+/** Returns an upper bound of the encoded size of a member. */
 export function getMemberSizeBytes(member: Member): number {
   const {hostId, address, callerAddress, failureDomain} = member;
   const text = hostId + address + callerAddress + failureDomain;
@@ -100,7 +100,7 @@
 
 export interface MembershipCodec {
   encode(message: MembershipMessage): Uint8Array;
-  /** Undefined for a datagram that is not ours or not well formed. */
+  /** Returns undefined for an unauthenticated or malformed datagram. */
   decode(datagram: Uint8Array): MembershipMessage | undefined;
 }
 
@@ -148,7 +148,7 @@
       try {
         return parse(payload);
       } catch {
-        // Authentic but of another version of the program.
+        // Authentic, but sent by another version of the program.
         return undefined;
       }
     },
--- a/src/coordination/order_rules.ts
+++ b/src/coordination/order_rules.ts
@@ -1,76 +1,76 @@
 /**
- * Pure rules of orders to upstreams: what differs from the desired state, and
+ * Pure rules of orders to upstreams: which desired states need an order, and
  * when an order may be sent under a lease.
  *
- * Engines that check fences refuse a former orderer by its older fence. For
- * engines that do not, an order lives only within the sender's lease, and a
- * successor waits out the longest life of an order and then looks at a fresh
- * report before it acts. What stays is a sender that is paused between its
- * check and the send: its order arrives late, its life begins on arrival, and
- * such an engine runs it. See docs/design/orders.md.
+ * Engines that check fences reject an order with an older fence. For other
+ * engines, an order is valid only within the sender's lease; a new holder waits
+ * for the longest validity of an order and then for a fresh report before it
+ * sends one. A risk remains: if a sender is paused between its check and the
+ * send, its order arrives late, its validity begins on arrival, and an engine
+ * without fence checks runs it. See docs/design/orders.md.
  */
 
 import type {EngineOrder} from '../ports/engine.js';
 
 export type OrderAction = EngineOrder['action'];
 
-/** Something that an engine should have or be. */
+/** The state that an engine should reach, and the action for it. */
 export interface DesiredState {
   readonly engineId: string;
   readonly action: OrderAction;
-  /** Read from the weight store to get there; 0 for none. */
+  /** Bytes read from the weight store by the action; 0 for none. */
   readonly costBytes: number;
 }
 
-/** How an engine was last seen. */
+/** The last reported state of an engine. */
 export interface ObservedState {
   readonly engineId: string;
-  /** On this host's clock, when the report was asked for. */
+  /** Time at which the report was requested, on this host's clock. */
   readonly askedAtMs: number;
   readonly leaving: boolean;
-  /** Whether the action's result is there. */
+  /** Whether the result of the action is observed. */
   isDone(action: OrderAction): boolean;
 }
 
-/** An order sent by this host whose effect is not seen yet. */
+/** An order sent by this host whose effect is not observed yet. */
 export interface SentOrder {
   readonly sentAtMs: number;
   readonly action: OrderAction;
 }
 
 export interface OrderTiming {
-  /** Longest life of an order. */
+  /** Longest validity of an order. */
   readonly orderLifeMs: number;
   readonly clockRateError: number;
-  /** After this, an order without effect is given again. */
+  /** An order without effect is sent again after this time. */
   readonly effectWaitMs: number;
-  /** Whether the engines refuse an older fence. */
+  /** Whether the engines reject an older fence. */
   readonly enginesCheckFences: boolean;
 }
 
 export interface OrderTerm {
-  /** When this host took the lease, on its own clock. */
+  /** When this host acquired the lease, on its own clock. */
   readonly takenAtMs: number;
-  /** How long it may still act. */
+  /** Remaining time of the lease. */
   readonly leftMs: number;
 }
 
-/** From when a new orderer may act on engines that ignore fences. */
+/** Returns when a new holder may send orders. */
 export function getQuietUntilMs(term: OrderTerm, timing: OrderTiming): number {
   if (timing.enginesCheckFences) return term.takenAtMs;
   const lifeMs = timing.orderLifeMs * (1 + timing.clockRateError);
   return term.takenAtMs + lifeMs;
 }
 
-/** Life to give an order sent now; 0: do not send. */
+/** Returns the validity of an order sent now; 0 if it must not be sent. */
 export function getOrderLifeMs(term: OrderTerm, timing: OrderTiming): number {
   if (timing.enginesCheckFences) return timing.orderLifeMs;
-  // Ends within the lease by the engine's clock as well as by ours.
-  const insideMs = term.leftMs * (1 - timing.clockRateError);
-  return Math.floor(Math.min(timing.orderLifeMs, insideMs));
+  // The order must expire within the lease on the engine's clock as well.
+  const withinLeaseMs = term.leftMs * (1 - timing.clockRateError);
+  return Math.floor(Math.min(timing.orderLifeMs, withinLeaseMs));
 }
 
-/** Whether an order should be given now. */
+/** Whether an order should be sent now. */
 export function isDue(
   desired: DesiredState,
   observed: ObservedState | undefined,
--- a/src/coordination/orders.ts
+++ b/src/coordination/orders.ts
@@ -1,6 +1,6 @@
 /**
- * Brings engines to their desired state: one orderer for each service, by
- * lease, with the lease's epoch as fencing number.
+ * Sends orders that bring engines to their desired state. A lease selects one
+ * sending host for each service; its epoch is the fencing token of the orders.
  */
 
 import type {Clock, TimerHandle} from '../ports/clock.js';
@@ -27,7 +27,7 @@
   readonly random: Random;
   readonly leases: LeaseKeeper;
   readonly log?: Logger;
-  /** In order of urgency. */
+  /** Returns the desired states, most urgent first. */
   desired(): readonly DesiredState[];
   observed(engineId: string): ObservedState | undefined;
   order(
@@ -35,12 +35,12 @@
     order: EngineOrder,
     timeoutMs: number,
   ): Promise<OrderOutcome>;
-  /** Part of the weight store's rate that this service may use now. */
+  /** Returns the share of the weight store's rate for this service. */
   weightBytesPerSecond(): number;
 }
 
 export interface OrderGiverOptions extends OrderTiming {
-  /** The lease that makes this host the orderer. */
+  /** Name of the lease that entitles a host to send orders. */
   readonly leaseName: string;
   readonly intervalMs: number;
   readonly orderTimeoutMs: number;
@@ -66,11 +66,11 @@
 ): OrderGiver {
   const {clock, random, leases, log} = host;
   const sent = new Map<string, SentOrder>();
-  const weights = createSpendLimit(clock, host.weightBytesPerSecond);
+  const weightLimit = createSpendLimit(clock, host.weightBytesPerSecond);
   const counts = {sent: 0, fenced: 0};
   let takenAtMs: number | undefined;
   let timer: TimerHandle | undefined;
-  let unlisten = () => undefined as void;
+  let unsubscribe = () => undefined as void;
 
   function getTerm(): OrderTerm | undefined {
     const held = leases.held().find(({name}) => name === options.leaseName);
@@ -78,16 +78,16 @@
     return {takenAtMs, leftMs: held.leftMs};
   }
 
-  function isOpen(desired: DesiredState): boolean {
+  function isPending(desired: DesiredState): boolean {
     const observed = host.observed(desired.engineId);
     return observed !== undefined && !observed.isDone(desired.action);
   }
 
-  function giveDueOrders(): void {
+  function sendDueOrders(): void {
     for (const desired of host.desired()) {
       const term = getTerm();
       if (!term) return;
-      const isNow = isDue(
+      const isOrderDue = isDue(
         desired,
         host.observed(desired.engineId),
         sent.get(desired.engineId),
@@ -95,14 +95,15 @@
         clock.nowMs(),
         options,
       );
-      if (isNow && getOrderLifeMs(term, options) > 0) giveOrder(desired, term);
+      if (isOrderDue && getOrderLifeMs(term, options) > 0)
+        sendOrder(desired, term);
     }
   }
 
-  function giveOrder(desired: DesiredState, term: OrderTerm): void {
-    if (!weights.spend(desired.costBytes)) return;
-    // Asked for last, right before the send: a holder that was paused up to
-    // here has no fence and sends nothing.
+  function sendOrder(desired: DesiredState, term: OrderTerm): void {
+    if (!weightLimit.spend(desired.costBytes)) return;
+    // Read right before the send: if the lease expired during a pause of this
+    // process, there is no fence and nothing is sent.
     const fence = leases.currentFence(options.leaseName);
     if (!fence) return;
     const {engineId, action} = desired;
@@ -125,12 +126,14 @@
         return;
       case 'fenced':
         counts.fenced++;
-        log?.warn('Order refused: a newer orderer acts.', {engineId});
+        log?.warn('Order rejected: an order with a newer fence was seen.', {
+          engineId,
+        });
         leases.nudge(options.leaseName);
         return;
       case 'failed':
-        // Nothing is held by these, so the next round may try again. Others
-        // may have taken effect; the report tells.
+        // These orders had no effect and may be retried in the next round. An
+        // order that failed otherwise may have taken effect.
         if (outcome.reason === 'refused' || outcome.reason === 'unreachable') {
           sent.delete(engineId);
         }
@@ -140,12 +143,12 @@
 
   function tick(): void {
     timer = clock.setTimer(options.intervalMs, tick);
-    giveDueOrders();
+    sendDueOrders();
   }
 
   return {
     start() {
-      unlisten = leases.changes.listen(change => {
+      unsubscribe = leases.changes.listen(change => {
         if (change.name !== options.leaseName) return;
         takenAtMs = change.kind === 'taken' ? clock.nowMs() : undefined;
         sent.clear();
@@ -154,13 +157,13 @@
       timer = clock.setTimer(options.intervalMs * random.nextFloat(), tick);
     },
     stop() {
-      unlisten();
+      unsubscribe();
       if (timer) clock.clearTimer(timer);
     },
     state: () => ({
       isOrderer: getTerm() !== undefined,
       ...counts,
-      open: host.desired().filter(isOpen).length,
+      open: host.desired().filter(isPending).length,
     }),
   };
 }
--- a/src/coordination/ownership.ts
+++ b/src/coordination/ownership.ts
@@ -1,7 +1,8 @@
 /**
- * Who owns a key: weighted rendezvous hashing over the members, spread over
- * failure domains. Each host computes it from its own view; where two views
- * may not both act, a lease decides and this only says who should want it.
+ * Determines the owner of a key by weighted rendezvous hashing over the
+ * members, spread over failure domains. Each host computes it from its own
+ * view. Where only one host may act, a lease decides, and ownership selects the
+ * host that should acquire it.
  */
 
 import type {Clock} from '../ports/clock.js';
@@ -10,23 +11,23 @@
 export interface OwnerCandidate {
   readonly hostId: string;
   readonly failureDomain: string;
-  /** Share of keys compared with the others; 1 by default. */
+  /** Relative share of keys; 1 by default. */
   readonly weight?: number;
 }
 
 export interface OwnerQuery {
   readonly key: string;
-  /** How many owners, the first one first. */
+  /** Number of owners to return, in order of preference. */
   readonly count: number;
-  /** Take hosts of this failure domain while there are any. */
+  /** Only hosts of this failure domain are used if there are any. */
   readonly preferredDomain?: string;
 }
 
 const UINT32_RANGE = 2 ** 32;
 
 /**
- * Higher is better. A host's score for a key depends on nothing else, so a
- * change of members moves only the keys that it must.
+ * Returns the score of a host for a key; the highest score owns the key. It does
+ * not depend on other hosts, so a membership change moves only affected keys.
  */
 function getScore(key: string, candidate: OwnerCandidate): number {
   const hash = hashText(`${key}|${candidate.hostId}`);
@@ -34,7 +35,7 @@
   return -(candidate.weight ?? 1) / Math.log(unit);
 }
 
-/** Owners of a key; successive ones are in other failure domains if any are. */
+/** Returns the owners of a key, with different failure domains first. */
 export function rankOwners<T extends OwnerCandidate>(
   candidates: readonly T[],
   query: OwnerQuery,
@@ -65,36 +66,37 @@
   return [...first, ...rest];
 }
 
-/** One change of a key's owner, as this host saw it. */
+/** A change of a key's owner in this host's view. */
 export interface OwnershipChange {
   readonly key: string;
-  /** Undefined when there was none, or is none now. */
+  /** The owner before; undefined if there was none. */
   readonly from: string | undefined;
+  /** The owner now; undefined if there is none. */
   readonly to: string | undefined;
-  /** Wall clock, for people. */
+  /** Wall clock; informational only. */
   readonly atMs: number;
 }
 
 export interface OwnershipHost {
   readonly clock: Clock;
-  /** Hosts that may own now; those that leave are not among them. */
+  /** Returns the hosts that may own keys, without those that are leaving. */
   candidates(): readonly OwnerCandidate[];
 }
 
 export interface Ownership {
-  /** The owner by this host's view. */
+  /** Returns the owner in this host's view. */
   ownerOf(key: string, preferredDomain?: string): string | undefined;
-  /** The owner and those who follow it. */
+  /** Returns the owner and the hosts next in order of preference. */
   ownersOf(
     key: string,
     count: number,
     preferredDomain?: string,
   ): readonly string[];
-  /** Call it when the candidates changed; hands back what moved. */
+  /** Recomputes the owners of watched keys; returns the changes. */
   refresh(): readonly OwnershipChange[];
-  /** Watches a key, so that its owners are remembered. */
+  /** Adds a key whose changes of owner are recorded. */
   watch(key: string, preferredDomain?: string): void;
-  /** Newest last. */
+  /** Returns the recorded changes, newest last. */
   history(key?: string): readonly OwnershipChange[];
 }
 
@@ -136,6 +138,8 @@
       watched.set(key, preferredDomain);
     },
     history: key =>
-      key === undefined ? [...history] : history.filter(h => h.key === key),
+      key === undefined
+        ? [...history]
+        : history.filter(change => change.key === key),
   };
 }
--- a/src/coordination/page_reader.ts
+++ b/src/coordination/page_reader.ts
@@ -1,38 +1,38 @@
 /**
- * Reads the members from others, page by page: all of them after the start,
- * and later those that this host knows only by name from the host list.
+ * Reads member records from other members, page by page: all records after the
+ * start, and later those of members known only from the host list.
  */
 
 import type {Member} from './member_records.js';
 
 export interface PageReaderHost {
-  later(delayMs: number, act: () => void): void;
+  schedule(delayMs: number, callback: () => void): void;
   running(): readonly Member[];
-  /** Asks some member for a page from `cursor` on. */
+  /** Requests the page that starts at `cursor` from any member. */
   request(cursor: string): void;
 }
 
 export interface PageReader {
   start(): void;
-  /** A page came; `next` is where the next one begins, empty at the end. */
+  /** Handles a page; `next` is the cursor of the next one, empty at the end. */
   received(next: string): void;
-  /** All members have been read once, and none is known by name only. */
+  /** Whether all members were read once and none lacks its details. */
   hasAll(): boolean;
 }
 
-const INTERVAL_MS = 100;
-/** Then another member is asked. */
-const TIMEOUT_MS = 500;
-/** Between two readings; gossip fills most gaps meanwhile. */
-const PAUSE_MS = 2_000;
+const PAGE_INTERVAL_MS = 100;
+/** The page is requested from another member after this time. */
+const PAGE_TIMEOUT_MS = 500;
+/** Between two passes over the members; gossip fills most gaps meanwhile. */
+const PASS_INTERVAL_MS = 2_000;
 
 export function createPageReader(host: PageReaderHost): PageReader {
   let cursor: string | undefined = '';
-  let isFirstReading = true;
+  let isFirstPass = true;
   let hasAll = false;
 
-  /** The first member from `cursor` on that is known by name only. */
-  function findGap(from: string): string | undefined {
+  /** Returns the first member at or after `from` that lacks its details. */
+  function findIncompleteMember(from: string): string | undefined {
     let found: string | undefined;
     for (const {hostId, callerAddress} of host.running()) {
       if (callerAddress !== '' || hostId < from) continue;
@@ -41,30 +41,32 @@
     return found;
   }
 
-  function read(askedFor: string | undefined): void {
+  function readNextPage(previousCursor: string | undefined): void {
     if (cursor === undefined) {
-      isFirstReading = false;
-      cursor = findGap('');
+      isFirstPass = false;
+      cursor = findIncompleteMember('');
       hasAll ||= cursor === undefined;
-      host.later(PAUSE_MS, () => read(undefined));
+      host.schedule(PASS_INTERVAL_MS, () => readNextPage(undefined));
       return;
     }
-    const hasMoved = askedFor !== cursor;
-    const asked = cursor;
+    const hasMoved = previousCursor !== cursor;
+    const requestedCursor = cursor;
     host.request(cursor);
-    host.later(hasMoved ? INTERVAL_MS : TIMEOUT_MS, () => read(asked));
+    host.schedule(hasMoved ? PAGE_INTERVAL_MS : PAGE_TIMEOUT_MS, () =>
+      readNextPage(requestedCursor),
+    );
   }
 
   return {
     start() {
-      host.later(INTERVAL_MS, () => read(undefined));
+      host.schedule(PAGE_INTERVAL_MS, () => readNextPage(undefined));
     },
     hasAll: () => hasAll,
     received(next) {
       if (cursor === undefined || (next !== '' && next <= cursor)) return;
       const isEnd = next === '';
       if (isEnd) cursor = undefined;
-      else cursor = isFirstReading ? next : findGap(next);
+      else cursor = isFirstPass ? next : findIncompleteMember(next);
     },
   };
 }
--- a/src/coordination/short_lease.ts
+++ b/src/coordination/short_lease.ts
@@ -1,8 +1,8 @@
 /**
- * A lease taken for one piece of work and not renewed: for a host that gives a
- * few orders now and then, where renewing a lease all day would cost many
- * times the calls of the work itself. The rules and the row are those of the
- * lasting leases.
+ * A lease that is acquired for one task and not renewed. It suits a host that
+ * sends a few orders occasionally, where continuous renewals would need many
+ * more table calls than the task itself. Its rules and row are those of a
+ * renewed lease.
  */
 
 import type {Clock} from '../ports/clock.js';
@@ -32,12 +32,12 @@
 export interface ShortLeaseOptions extends LeaseTiming {
   readonly hostId: string;
   readonly name: string;
-  /** How long the holder acts of the time that it holds the lease. */
+  /** Part of the lease duration during which the holder may act. */
   readonly useMs: number;
   /**
-   * How long after `useMs` an act of the last holder may still arrive. Another
-   * host waits for `leaseMs` beyond that, so that acts of two holders are
-   * always as far apart as the lease lasts.
+   * How long after `useMs` an order of the last holder may still arrive.
+   * Another host waits a further `leaseMs`, so that orders of two holders are
+   * always at least one lease duration apart.
    */
   readonly settleMs: number;
   readonly callTimeoutMs: number;
@@ -45,33 +45,34 @@
 
 export interface ShortTerm {
   readonly fence: Fence;
-  /** Last moment at which to act under the fence. */
+  /** Latest time at which the fence may be used. */
   readonly untilMs: number;
   readonly attemptId: string;
-  /** The table's clock when the term began, where it tells. */
+  /** The table's clock when the term began, if the table reports it. */
   readonly tableSinceMs?: number;
   readonly tableEra: number;
 }
 
-/** Whether a holder may act now; if not, why. */
+/** Whether a holder may act now, or the reason why not. */
 export type TermCheck =
   'valid' | 'expired' | 'lost' | 'suspended' | 'unconfirmed';
 
 export interface ShortLease {
-  /** Undefined when it is another's, or the table does not answer. */
+  /** Returns undefined if another host holds it or the table is unavailable. */
   acquire(): Promise<ShortTerm | undefined>;
   /**
-   * Asked right before an act. The holder's steady clock stands still while
-   * its host is suspended, so the term is measured by the table's clock, and
-   * the time of day is watched while the answer is on its way: it goes on in
-   * a suspension. A step of the time of day in those few milliseconds looks
-   * the same and costs one try; at any other time it is not seen at all.
+   * Checks the term right before an action. The monotonic clock stops while
+   * the host is suspended, so the term is measured by the table's clock. The
+   * wall clock keeps running during a suspension, so it is compared with the
+   * monotonic clock to detect one while the answer is pending. A step of the
+   * wall clock in those few milliseconds looks the same and costs one attempt;
+   * at any other time it has no effect.
    */
   confirm(term: ShortTerm): Promise<TermCheck>;
 }
 
-/** The time of day may drift by less than this while the table answers. */
-const SUSPENSION_MS = 150;
+/** Largest wall clock drift during a table call not taken as a suspension. */
+const MAX_CLOCK_DIFFERENCE_MS = 150;
 
 export function createShortLease(
   host: ShortLeaseHost,
@@ -82,21 +83,22 @@
   const key = getLeaseKey(name);
   let observation: LeaseObservation | undefined;
   let knownEra = -1;
-  /** No row of the known era is taken before. */
+  /** No row of the known era may be acquired before this time. */
   let eraTakeableAtMs = Number.NEGATIVE_INFINITY;
-  /** An act of a holder may still arrive so long after its term began. */
-  const actsEndMs = options.useMs + options.settleMs;
+  /** How long after the start of a term a holder's order may still arrive. */
+  const orderArrivalEndMs = options.useMs + options.settleMs;
 
   /**
-   * Guards against two holders where the table came back from an older copy:
-   * it has lost who holds the lease, and a host that has just started cannot
-   * tell how long ago that was.
+   * Prevents two holders after the table was restored from an older copy. The
+   * copy may not contain the current holder, and a host that has just started
+   * cannot know when the restore happened.
    */
-  function noteEra(era: number): void {
+  function updateEra(era: number): void {
     if (era <= knownEra) return;
     knownEra = era;
     observation = undefined;
-    if (era > 0) eraTakeableAtMs = clock.nowMs() + options.leaseMs + actsEndMs;
+    if (era > 0)
+      eraTakeableAtMs = clock.nowMs() + options.leaseMs + orderArrivalEndMs;
   }
 
   function isTakeable(row: TableRow): boolean {
@@ -105,9 +107,10 @@
     observation = observe(observation, row.version, nowMs);
     if (record.holder === hostId) return true;
     const atMs = getTakeableAtMs(record, observation, hostId, options);
-    // A lease that was given up is free, but its last holder's orders may
-    // still arrive: it is treated like one that has to lapse.
-    const lapsedAtMs = observation.firstSeenMs + options.leaseMs + actsEndMs;
+    // Orders of the last holder may still arrive after a release, so a
+    // released lease is treated like one that has to expire.
+    const lapsedAtMs =
+      observation.firstSeenMs + options.leaseMs + orderArrivalEndMs;
     return nowMs >= Math.max(atMs, lapsedAtMs);
   }
 
@@ -121,11 +124,11 @@
     const read = await table.read([key], callTimeoutMs);
     if (read.kind !== 'read') return undefined;
     const {tableNowMs, tableEra = 0} = read;
-    noteEra(tableEra);
+    updateEra(tableEra);
     return {row: read.value.at(0), tableNowMs, tableEra};
   }
 
-  /** Whether the row that is there now is the one this attempt wrote. */
+  /** Reads whether the current row was written by this attempt. */
   async function readBack(attemptId: string): Promise<Readback | undefined> {
     const read = await readRow();
     if (!read) return undefined;
@@ -141,7 +144,7 @@
     const outcome = await table.transact(transaction, callTimeoutMs);
     if (outcome.kind === 'applied') {
       const {tableNowMs, tableEra = 0} = outcome;
-      noteEra(tableEra);
+      updateEra(tableEra);
       return {isOurs: true, tableNowMs, tableEra};
     }
     const readback =
@@ -165,10 +168,11 @@
         clock.wallMs(),
         tableEra,
       );
-      // Counted from before the write: the row may be as old as that.
+      // The row may have been written as early as the send.
       const sentAtMs = clock.nowMs();
       const written = await write(transaction, attemptId);
-      // A version may be given out again, and the write fit another row.
+      // A restored table may reuse a version, so the write may have matched a
+      // different row.
       if (!written.isOurs || written.tableEra !== tableEra) return undefined;
       const epoch = getNextEpoch(row, tableEra);
       const untilMs = sentAtMs + options.useMs;
@@ -177,26 +181,27 @@
         fence: createFence(name, epoch),
         untilMs,
         attemptId,
-        // The table may have written it as early as the first read.
+        // The row may have been written as early as the first read.
         tableSinceMs: read.tableNowMs ?? written.tableNowMs,
         tableEra,
       };
     },
     async confirm(term) {
       const wallMs = clock.wallMs();
-      const askedAtMs = clock.nowMs();
+      const sentAtMs = clock.nowMs();
       const readback = await readBack(term.attemptId);
       if (!readback) return 'unconfirmed';
-      const isOfEra = readback.tableEra === term.tableEra;
-      if (!readback.isOurs || !isOfEra) return 'lost';
+      const isSameEra = readback.tableEra === term.tableEra;
+      if (!readback.isOurs || !isSameEra) return 'lost';
       const {tableNowMs} = readback;
       if (tableNowMs !== undefined && term.tableSinceMs !== undefined) {
         const heldMs = tableNowMs - term.tableSinceMs;
         if (heldMs > options.useMs) return 'expired';
       }
       const nowMs = clock.nowMs();
-      const unseenMs = clock.wallMs() - wallMs - (nowMs - askedAtMs);
-      if (Math.abs(unseenMs) > SUSPENSION_MS) return 'suspended';
+      const clockDifferenceMs = clock.wallMs() - wallMs - (nowMs - sentAtMs);
+      if (Math.abs(clockDifferenceMs) > MAX_CLOCK_DIFFERENCE_MS)
+        return 'suspended';
       return nowMs > term.untilMs ? 'expired' : 'valid';
     },
   };
--- a/src/coordination/table_budget.ts
+++ b/src/coordination/table_budget.ts
@@ -1,15 +1,15 @@
 /**
- * This host's share of what the whole fleet may ask of the platform's table,
- * as token buckets with a reserve for the more urgent users.
+ * This host's share of the fleet's call rate to the platform's table, as token
+ * buckets with a reserve for urgent priorities.
  */
 
 import type {Clock} from '../ports/clock.js';
 
-/** Users of the table, most urgent first. */
+/** Priorities of table calls, most urgent first. */
 export type TablePriority =
   'journal' | 'lease' | 'configuration' | 'background';
 
-/** Share of a full bucket that must stay after a user of this priority. */
+/** Share of a full bucket that a call of each priority must leave. */
 const reserveShares: Readonly<Record<TablePriority, number>> = {
   journal: 0,
   lease: 0,
@@ -18,16 +18,16 @@
 };
 
 export interface RateBudgetOptions {
-  /** Operations a second; read again at each use. */
+  /** Returns operations per second; evaluated at each use. */
   ratePerSecond(): number;
-  /** Seconds of the rate that may be saved up. */
+  /** Bucket capacity in seconds of the rate. */
   readonly burstSeconds: number;
-  /** Smallest size of a full bucket, in operations. */
+  /** Minimum bucket capacity in operations. */
   readonly minBurst: number;
 }
 
 export interface RateBudget {
-  /** Takes one operation; returns 0, or how long to wait for it. */
+  /** Takes one operation and returns 0, or returns the time to wait in ms. */
   take(priority: TablePriority): number;
 }
 
@@ -37,7 +37,7 @@
 ): RateBudget {
   const getCapacity = () =>
     Math.max(options.minBurst, options.ratePerSecond() * options.burstSeconds);
-  /** Full at the first use; the rate may not be known before. */
+  /** The bucket is full at first use, since the rate may not be known earlier. */
   let tokens = Infinity;
   let filledAtMs = clock.nowMs();
 
--- a/src/coordination/table_client.ts
+++ b/src/coordination/table_client.ts
@@ -1,10 +1,10 @@
 /**
- * The one way to the platform's table: a budget, a circuit, retries with
- * jitter, and read-back of writes whose answer was lost.
+ * Client of the platform's table, with a rate budget, a circuit breaker,
+ * retries with jitter, and read-back of writes whose answer was lost.
  *
- * A write ends `applied`, `rejected`, `refused` or `unknown`. An `unknown`
- * write may still be applied later, so reading "not there" proves nothing by
- * itself; see `transactSettled`.
+ * A write ends as `applied`, `rejected`, `refused` or `unknown`. An `unknown`
+ * write may still be applied later, so its absence in a read does not show
+ * that it failed; see `transactSettled`.
  */
 
 import type {Clock} from '../ports/clock.js';
@@ -26,37 +26,37 @@
 }
 
 export interface TableClientOptions {
-  /** Hosts that share the fleet's budget now, at least 1. */
+  /** Number of hosts that share the fleet's budget, at least 1. */
   hostCount(): number;
   /**
-   * This host's part of the write budget, 0 to 1; an even share by default.
-   * A host that owns journal partitions has more.
+   * This host's share of the write budget, from 0 to 1; an even share by
+   * default. A host that owns journal partitions has a larger share.
    */
   writeShare?(): number;
   /** Writes a second for the whole fleet. */
   readonly fleetWritesPerSecond: number;
   /** Reads and scans a second for the whole fleet. */
   readonly fleetReadsPerSecond: number;
-  /** Limit of one call to the table. */
+  /** Timeout of one call to the table. */
   readonly callTimeoutMs: number;
 }
 
-/** Who asks, and how long it may take with all retries. */
+/** Priority of a call, and its time limit including all retries. */
 export interface TableUse {
   readonly priority: TablePriority;
   readonly timeoutMs: number;
 }
 
-/** What rows read back say of a write whose answer was lost. */
+/** Outcome of a write as determined by reading its rows. */
 export type ReadBackVerdict =
   /** Its effect is in the table. */
   | 'applied'
-  /** It did not apply, and its conditions can never hold again. */
+  /** It was not applied, and its conditions can never hold again. */
   | 'not-applied'
-  /** It may still apply. */
+  /** It may still be applied. */
   | 'undecided';
 
-/** How to find out what became of an unknown write. */
+/** Determines the outcome of an unknown write from its rows. */
 export interface ReadBack {
   readonly keys: readonly string[];
   judge(rows: ReadonlyMap<string, TableRow>): ReadBackVerdict;
@@ -80,19 +80,19 @@
     options: {readonly afterKey?: string; readonly limit: number},
     use: TableUse,
   ): Promise<ReadOutcome<readonly TableRow[]>>;
-  /** Retries refusals within the time; hands `unknown` back at once. */
+  /** Retries refused writes until the timeout; returns `unknown` at once. */
   transact(transaction: TableTransaction, use: TableUse): Promise<WriteOutcome>;
   /**
-   * As `transact`, and finds out what became of an unknown write. Only for a
-   * transaction whose conditions fail once it has applied (a version or an
-   * absent row that it writes itself): it is sent again while undecided.
+   * Like `transact`, but resolves an unknown write by read-back and sends it
+   * again while undecided. The transaction's conditions must fail once it has
+   * been applied, for example a version or an absent row that it writes itself.
    */
   transactSettled(
     transaction: TableTransaction,
     readBack: ReadBack,
     use: TableUse,
   ): Promise<WriteOutcome>;
-  /** One read-back of an unknown write; `undecided` if it cannot be read. */
+  /** Reads back an unknown write once; `undecided` if the read fails. */
   resolveUnknown(readBack: ReadBack, use: TableUse): Promise<ReadBackVerdict>;
   state(): TableClientState;
 }
@@ -146,7 +146,7 @@
     return ceilingMs * (0.5 + random.nextFloat() / 2);
   }
 
-  function limitMs(deadlineMs: number): number {
+  function getCallTimeoutMs(deadlineMs: number): number {
     return Math.max(
       1,
       Math.min(options.callTimeoutMs, deadlineMs - clock.nowMs()),
@@ -165,15 +165,15 @@
     }
     const waitMs = readBudget.take(use.priority);
     if (waitMs > 0) {
-      // Else the probe that lets the circuit close would be waited for in
-      // vain, and nothing would go out for seconds.
-      circuit.withdrawn();
+      // Otherwise the circuit would wait several seconds for the result of a
+      // probe that was never sent.
+      circuit.cancelled();
       counts.budgetRefusals++;
       const reason = 'The read budget of this host is used up.';
       return {outcome: {kind: 'failed', reason}, retryAfterMs: waitMs};
     }
     counts.reads++;
-    const outcome = await call(limitMs(deadlineMs));
+    const outcome = await call(getCallTimeoutMs(deadlineMs));
     if (outcome.kind === 'read') circuit.succeeded();
     else circuit.failed();
     return {outcome, retryAfterMs: 0};
@@ -204,14 +204,17 @@
     }
     const waitMs = writeBudget.take(use.priority);
     if (waitMs > 0) {
-      // Else the probe that lets the circuit close would be waited for in
-      // vain, and nothing would go out for seconds.
-      circuit.withdrawn();
+      // Otherwise the circuit would wait several seconds for the result of a
+      // probe that was never sent.
+      circuit.cancelled();
       counts.budgetRefusals++;
       return {kind: 'refused', reason: 'budget', retryAfterMs: waitMs};
     }
     counts.writes++;
-    const outcome = await table.transact(transaction, limitMs(deadlineMs));
+    const outcome = await table.transact(
+      transaction,
+      getCallTimeoutMs(deadlineMs),
+    );
     recordWrite(outcome);
     return outcome;
   }
--- a/src/coordination/text_delta.ts
+++ b/src/coordination/text_delta.ts
@@ -1,9 +1,9 @@
-/** The change from one text to the next, as one replaced run of lines. */
+/** Text differences, each stored as one replaced range of lines. */
 
 import type {JsonRecord} from '../ports/table.js';
 
 export interface TextDelta {
-  /** Index of the first line replaced. */
+  /** Index of the first replaced line. */
   readonly start: number;
   readonly removed: number;
   readonly inserted: readonly string[];
@@ -26,7 +26,7 @@
   };
 }
 
-/** Undefined when the delta does not fit the text. */
+/** Returns undefined if the delta does not match the text. */
 export function applyDelta(
   before: string,
   delta: TextDelta,
@@ -37,7 +37,7 @@
   return lines.join('\n');
 }
 
-/** Lines taken out and put in, for people. */
+/** Formats the removed and inserted lines for display. */
 export function describeDelta(before: string, after: string): string {
   const {start, removed, inserted} = createDelta(before, after);
   const gone = before.split('\n').slice(start, start + removed);
--- a/tests/coordination/circuit_test.ts
+++ b/tests/coordination/circuit_test.ts
@@ -6,19 +6,19 @@
 
 const OPTIONS = {failureLimit: 1, minOpenMs: 500, maxOpenMs: 5_000};
 
-test('a probe that was not made does not hold up the next one', () => {
-  // The platform is back, and the circuit lets one call try it. That call is
-  // turned away by the host's own budget and never goes out. Waiting for its
-  // result would keep the host, and its leases, from the platform for seconds.
+test('a cancelled probe does not delay the next one', () => {
+  // Guards against a host that cannot renew its leases for seconds after the
+  // platform recovers: the circuit admits one probe, the rate budget rejects
+  // it, and the circuit waits for a result that never comes.
   const clock = createVirtualClock();
   const circuit = createCircuit(clock, createSeededRandom(1), OPTIONS);
   circuit.failed();
   clock.advanceSync(OPTIONS.maxOpenMs);
   assert.equal(circuit.admit(), 0);
   assert.ok(circuit.admit() > 0);
-  circuit.withdrawn();
+  circuit.cancelled();
   assert.equal(circuit.admit(), 0);
   circuit.succeeded();
-  circuit.withdrawn();
+  circuit.cancelled();
   assert.equal(circuit.state(), 'closed');
 });
--- a/tests/coordination/configuration_test.ts
+++ b/tests/coordination/configuration_test.ts
@@ -19,7 +19,7 @@
 
 const HOSTS = 9;
 
-/** Nine hosts with membership, and one table. */
+/** Creates nine hosts with membership that share one table. */
 function createSite(clock: VirtualClock, table: FakeTable, seed: number) {
   const network = createVirtualNetwork(clock, createSeededRandom(seed));
   const listed = Array.from({length: HOSTS}, (_, index): ListedHost => ({
@@ -30,14 +30,14 @@
     state: 'live',
   }));
   const running = new Map<string, ConfigurationKeeper>();
-  let starts = 0;
-  /** By host, over its restarts: the newest revision it had in force. */
+  let startCount = 0;
+  /** Newest revision in force by host, kept across its restarts. */
   const newest = new Map<string, number>();
-  let steppedBack = 0;
+  let backwardSteps = 0;
 
   function start(index: number) {
     const {hostId, failureDomain, address} = listed[index];
-    const random = createSeededRandom(seed * 1_000 + starts++);
+    const random = createSeededRandom(seed * 1_000 + startCount++);
     const port = network.open(address);
     const membership = createMembership(
       {clock, random, datagrams: port},
@@ -78,7 +78,7 @@
       {hostId},
     );
     keeper.changes.listen(({revision}) => {
-      if (revision < (newest.get(hostId) ?? 0)) steppedBack++;
+      if (revision < (newest.get(hostId) ?? 0)) backwardSteps++;
       newest.set(hostId, revision);
     });
     membership.start();
@@ -95,7 +95,7 @@
   }
 
   const hosts = listed.map((_, index) => start(index));
-  return {hosts, start, countStepsBack: () => steppedBack};
+  return {hosts, start, countBackwardSteps: () => backwardSteps};
 }
 
 const createChange = (basedOn: number, changeId: string) => ({
@@ -106,8 +106,8 @@
   body: `revision: ${basedOn + 1}\nchange: ${changeId}\n`,
 });
 
-/** Moves the clock until `pending` has ended. */
-async function finish<T>(clock: VirtualClock, pending: Promise<T>): Promise<T> {
+/** Advances the clock until `pending` has settled. */
+async function settle<T>(clock: VirtualClock, pending: Promise<T>): Promise<T> {
   let isDone = false;
   const ended = pending.finally(() => {
     isDone = true;
@@ -120,12 +120,12 @@
   clock: VirtualClock,
   keeper: ConfigurationKeeper,
   change: ReturnType<typeof createChange>,
-): Promise<ApplyOutcome> => finish(clock, keeper.apply(change));
+): Promise<ApplyOutcome> => settle(clock, keeper.apply(change));
 
-// A change that was called accepted stays out of force at some sites. The
-// platform goes down right after it took the write, so nobody else can read
-// the revision from it; hosts hear of the head and have to ask each other.
-test('in force at all within 2 s, and within 5 s with the platform gone', async () => {
+// Guards against an accepted change that some hosts never apply. The platform
+// becomes unavailable right after the write, so hosts learn of the new head by
+// gossip and have to fetch the revision from each other.
+test('a change is in force on all hosts in 2 s, or 5 s without the platform', async () => {
   for (let seed = 1; seed <= 5; seed++) {
     const clock = createVirtualClock(1_000_000);
     const table = createFakeTable();
@@ -145,14 +145,13 @@
   }
 });
 
-// An office finds yesterday's latency targets in force again. Hosts are
-// killed and replaced while changes are made and the platform comes and goes;
-// a host that starts without the platform must not take an older revision
-// than the site already had.
-test('no host goes back over 100 kills and restarts', async () => {
+// Guards against an older configuration coming into force again. Hosts are
+// killed and replaced while changes are made and the platform is at times
+// unavailable; a host that starts without it must not adopt an older revision.
+test('no host goes back to an older revision in 100 kills and restarts', async () => {
   const clock = createVirtualClock(1_000_000);
   const table = createFakeTable();
-  const {hosts, start, countStepsBack} = createSite(clock, table, 3);
+  const {hosts, start, countBackwardSteps} = createSite(clock, table, 3);
   const random = createSeededRandom(77);
   await clock.advance(3_000);
   let head = 0;
@@ -170,7 +169,7 @@
       : await applyIn(clock, author, change);
     if (outcome?.kind === 'accepted') head++;
     await clock.advance(3_000);
-    assert.equal(countStepsBack(), 0, `round ${round}`);
+    assert.equal(countBackwardSteps(), 0, `round ${round}`);
   }
   assert.ok(head > 40);
   table.isDown = false;
@@ -180,11 +179,10 @@
   }
 });
 
-// Two operators each believe that their change is in force, or one is told
-// that his was not taken while it was. Three change the same revision at
-// once, and one answer in ten of the platform is lost, before or after its
-// effect, or the write applies late.
-test('1,000 races with lost answers: each operator hears the truth', async () => {
+// Guards against a wrong outcome for one of several concurrent changes. Three
+// operators change the same revision at once; for one write in ten the answer
+// is lost before or after its effect, or the write is applied late.
+test('each of three concurrent changes gets the right outcome in 1,000 races', async () => {
   const clock = createVirtualClock(1_000_000);
   const table = createFakeTable();
   const {hosts} = createSite(clock, table, 8);
@@ -202,7 +200,7 @@
     );
     await clock.advance(300);
     table.applyLate();
-    const outcomes = await finish(clock, Promise.all(pending));
+    const outcomes = await settle(clock, Promise.all(pending));
     const row = [...table.rows.values()].find(
       found =>
         found.key.startsWith('config/revision/') &&
@@ -220,7 +218,7 @@
   assert.equal(counts.unknown, 0);
 });
 
-test('asking again with the same change id finds the first end', async () => {
+test('a retry with the same change id returns the first outcome', async () => {
   const clock = createVirtualClock(1_000_000);
   const table = createFakeTable();
   const {hosts} = createSite(clock, table, 4);
@@ -236,7 +234,7 @@
   assert.match(late.difference, /\+change: a/);
 });
 
-test('a rollback is a new revision, and the history shows all', async () => {
+test('a rollback creates a new revision and appears in the history', async () => {
   const clock = createVirtualClock(1_000_000);
   const table = createFakeTable();
   const {hosts} = createSite(clock, table, 6);
@@ -245,7 +243,7 @@
     await applyIn(clock, hosts[0].keeper, createChange(n, `c${n}`));
   }
   const change = createChange(20, 'back');
-  const outcome = await finish(clock, hosts[3].keeper.rollback(7, change));
+  const outcome = await settle(clock, hosts[3].keeper.rollback(7, change));
   assert.equal(outcome.kind, 'accepted');
   await clock.advance(2_000);
   assert.match(hosts[8].keeper.current()!.body, /change: c6/);
@@ -257,7 +255,7 @@
   );
 });
 
-test('a body that a host cannot run with stays out of force and is told', async () => {
+test('an invalid body is reported as invalid and is not written', async () => {
   const clock = createVirtualClock(1_000_000);
   const table = createFakeTable();
   const {hosts} = createSite(clock, table, 6);
@@ -268,7 +266,7 @@
   assert.equal(table.rows.size, 0);
 });
 
-test('a delta restores the text that it was made from', () => {
+test('applying a delta restores the new text', () => {
   const random = createSeededRandom(1);
   const createText = () =>
     Array.from({length: random.nextInt(8)}, () => `${random.nextInt(3)}`).join(
--- a/tests/coordination/directory_test.ts
+++ b/tests/coordination/directory_test.ts
@@ -34,7 +34,7 @@
       rampMs: 30_000,
     },
   );
-  /** How often each host comes first in 3,000 answers. */
+  /** Counts how often each host comes first in 3,000 answers. */
   function countFirst(): Map<string, number> {
     const counts = new Map<string, number>();
     for (let i = 0; i < 3_000; i++) {
@@ -49,7 +49,7 @@
   return {clock, loads, directory, countFirst, setMembers, all: members};
 }
 
-test('an answer spans failure domains and its lifetime has jitter', () => {
+test('an answer spans failure domains and its TTL has jitter', () => {
   const {directory, all} = createCase();
   const ttls = new Set<number>();
   for (let i = 0; i < 100; i++) {
@@ -64,7 +64,7 @@
   assert.ok(ttls.size > 50);
 });
 
-test('a leaving host is gone from answers at once, and load steers', () => {
+test('a leaving host is omitted and a loaded host comes first less often', () => {
   const {countFirst, loads, setMembers, all} = createCase();
   all.forEach(member => loads.set(member.hostId, 0.2));
   loads.set('host-1', 0.9);
@@ -74,10 +74,10 @@
   assert.ok(counts.get('host-1')! < counts.get('host-2')! / 3);
 });
 
-// Callers of a whole region rush to three empty hosts, which then refuse most
-// of them. A failure domain died and comes back; its hosts report no load,
-// and answers are short-lived, so within seconds everyone is sent there.
-test('a domain that returns is not stormed', () => {
+// Guards against an overload of a failure domain that has just returned. Its
+// hosts report no load and answers expire within seconds, so without the ramp
+// all callers would be sent there at once.
+test('a returning domain receives its full share only after the ramp', () => {
   const {clock, countFirst, loads, setMembers, all} = createCase();
   countFirst();
   clock.advanceSync(60_000);
@@ -102,7 +102,7 @@
   assert.ok(later > 1_500, `${later}`);
 });
 
-test('a host that sees no other names itself', () => {
+test('a host without known members returns itself', () => {
   const {directory, setMembers} = createCase();
   setMembers([]);
   assert.equal(directory.answer().entries[0].hostId, 'host-0');
--- a/tests/coordination/embedding_test.ts
+++ b/tests/coordination/embedding_test.ts
@@ -7,7 +7,7 @@
 import {createVirtualClock} from '../../src/core/virtual_clock.js';
 import {createFakeTable} from './fake_table.js';
 
-test('a write under a fence, as the page for embedders shows it', async () => {
+test('the fenced write of the embedding guide is applied', async () => {
   const clock = createVirtualClock();
   const random = createSeededRandom(1);
   const platformTable = createFakeTable();
@@ -34,7 +34,7 @@
   const outcome = await table.transact(
     {
       attemptId: random.nextId(),
-      // A host that lost the lease while it was paused is refused here.
+      // The table rejects a host that lost the lease during a pause.
       conditions: [fence.condition],
       writes: [{kind: 'put', key: 'posting/1', value: {amount: 5}}],
     },
--- a/tests/coordination/fake_table.ts
+++ b/tests/coordination/fake_table.ts
@@ -1,4 +1,4 @@
-/** A table in memory whose answers a test can lose, delay or refuse. */
+/** An in-memory table whose answers a test can lose, delay or refuse. */
 
 import type {
   ReadOutcome,
@@ -9,18 +9,18 @@
   WriteOutcome,
 } from '../../src/ports/table.js';
 
-/** What becomes of one transaction. */
+/** Fault injected into one transaction. */
 export type WriteFault =
   'none' | 'lost-before' | 'lost-after' | 'late' | 'unavailable';
 
 export interface FakeTable extends TablePort {
   readonly rows: Map<string, TableRow>;
   readonly log: TableTransaction[];
-  /** Asked for each transaction. */
+  /** Returns the fault of each transaction. */
   nextFault: (transaction: TableTransaction) => WriteFault;
   isDown: boolean;
   readCount: number;
-  /** Applies the writes that were made late. */
+  /** Applies the writes held back by the fault `late`. */
   applyLate(): void;
 }
 
--- a/tests/coordination/lease_test.ts
+++ b/tests/coordination/lease_test.ts
@@ -13,11 +13,11 @@
   hostId: string,
   seed: number,
   clock: Clock,
-  t: FakeTable,
+  fakeTable: FakeTable,
 ) {
   const random = createSeededRandom(seed);
   const table = createTableClient(
-    {clock, random, table: t},
+    {clock, random, table: fakeTable},
     {
       hostCount: () => 9,
       fleetWritesPerSecond: 300,
@@ -33,15 +33,15 @@
   return keeper;
 }
 
-/** A clock that a test can stop, as SIGSTOP stops a process. */
+/** A clock whose timers a test can pause, as SIGSTOP pauses a process. */
 function createPausableClock(inner: Clock) {
   let isPaused = false;
-  const held: (() => void)[] = [];
+  const deferredCallbacks: (() => void)[] = [];
   return {
     ...inner,
     setTimer: (delayMs: number, callback: () => void) =>
       inner.setTimer(delayMs, () => {
-        if (isPaused) held.push(callback);
+        if (isPaused) deferredCallbacks.push(callback);
         else callback();
       }),
     pause: () => {
@@ -49,12 +49,12 @@
     },
     resume: () => {
       isPaused = false;
-      held.splice(0).forEach(callback => callback());
+      deferredCallbacks.splice(0).forEach(callback => callback());
     },
   };
 }
 
-test('one host holds a lease, and a dead one is followed within 5 s', async () => {
+test('only one host holds a lease, and another takes over in 5 s', async () => {
   const clock = createVirtualClock();
   const table = createFakeTable();
   const first = createPausableClock(clock);
@@ -71,11 +71,11 @@
   assert.equal(b.currentFence('p0')?.epoch, 2);
 });
 
-// A bookkeeper's posting would run twice if a host that was stopped for a
-// while went on under its old lease. The host is paused past the lease's end,
-// another takes over, and the first wakes between its own check and its
-// write. Cause: a check of one's own clock cannot bind what comes after it.
-test('a paused holder sees its end first, and the table refuses it', async () => {
+// Guards against a posting that runs twice because a paused host continues
+// under its old lease. The host is paused past the lease's expiry, another
+// host takes over, and the first one resumes between its check and its write.
+// A check of the local clock does not cover what happens after the check.
+test('a paused holder sees the expiry, and the table rejects its fence', async () => {
   const clock = createVirtualClock();
   const table = createFakeTable();
   const first = createPausableClock(clock);
@@ -104,9 +104,10 @@
   assert.equal(a.currentFence('p0'), undefined);
 });
 
-// Two hosts would own the same postings if a taker whose answer was lost let
-// go of what it had won, or kept what it had not. One write in three loses
-// its answer, before or after its effect. Cause: the network to the platform.
+// Guards against two holders when the network to the platform loses the answer
+// to an acquisition, so that a host drops a lease it holds or keeps one it does
+// not. For one write in three the answer is lost before or after its effect, or
+// the write is applied late.
 test('with lost answers there is never more than one holder', async () => {
   for (let seed = 1; seed <= 30; seed++) {
     const clock = createVirtualClock();
@@ -131,7 +132,7 @@
   }
 });
 
-test('a release hands over at once and outdates the old fence', async () => {
+test('the successor acquires a released lease at once; the old fence fails', async () => {
   const clock = createVirtualClock();
   const table = createFakeTable();
   const a = createKeeper('a', 1, clock, table);
@@ -151,7 +152,7 @@
   assert.equal(b.currentFence('p0')?.epoch, fence.epoch + 2);
 });
 
-test('a watcher takes at once when the holder has long been silent', async () => {
+test('a watching host acquires an expired lease at once', async () => {
   const clock = createVirtualClock();
   const table = createFakeTable();
   const first = createPausableClock(clock);
@@ -169,7 +170,7 @@
   assert.equal(b.currentFence('p0')?.epoch, 2);
 });
 
-test('renewals of many leases are one write each time', async () => {
+test('all leases of a host are renewed in one write', async () => {
   const clock = createVirtualClock();
   const table = createFakeTable();
   const a = createKeeper('a', 1, clock, table);
--- a/tests/coordination/membership_test.ts
+++ b/tests/coordination/membership_test.ts
@@ -58,7 +58,7 @@
   }
 
   const site: Site = {members: listed.map((_, index) => add(index)), add};
-  /** The process is gone from one moment to the next. */
+  /** Stops all traffic of a process without notice. */
   const kill = (index: number) => {
     ports[index].close();
     ports[index].send = () => undefined;
@@ -68,7 +68,7 @@
 
 const countRunning = (member: Membership) => member.members().length;
 
-test('all learn of each other with their addresses for callers', () => {
+test('all hosts learn each other with their addresses for callers', () => {
   const {clock, members} = createSite(9);
   clock.advanceSync(5_000);
   for (const member of members) {
@@ -77,9 +77,9 @@
   }
 });
 
-// Callers would go on being sent to a host that is gone. One of nine hosts
-// dies without a word; the others must have it out of their view within 5 s.
-test('a killed host is out of view within 5 s', () => {
+// Guards against callers being sent to a failed host: one of nine hosts stops
+// without notice.
+test('a killed host is declared dead by all others within 5 s', () => {
   let slowestMs = 0;
   for (let seed = 1; seed <= 20; seed++) {
     const {clock, members, kill} = createSite(9, seed);
@@ -97,9 +97,9 @@
   assert.ok(slowestMs <= 5_000, `slowest ${slowestMs} ms`);
 });
 
-// An operator would see healthy hosts dropped and their work moved about.
-// One datagram in twenty is lost for ten minutes. A death is false here.
-test('no false death in 10 minutes at 5% loss', () => {
+// Guards against healthy hosts being declared dead when one datagram in twenty
+// is lost.
+test('no host is declared dead in 10 minutes at 5% loss', () => {
   for (let seed = 1; seed <= 3; seed++) {
     const {clock, network, members} = createSite(9, seed);
     clock.advanceSync(5_000);
@@ -115,7 +115,7 @@
   }
 });
 
-test('a leaving host is known as leaving within 2 s and is not called dead', () => {
+test('a host is known as leaving within 2 s and then as left, not dead', () => {
   const {clock, members, kill} = createSite(36);
   clock.advanceSync(10_000);
   members[7].leave();
@@ -129,10 +129,10 @@
   assert.ok(members[0].get('host-7')?.state === 'left');
 });
 
-// Both halves of a region would each believe the other dead for ever. The
-// network splits for a minute and heals; each side holds tombstones of the
-// other. Cause of a lasting split: nobody talks to members thought dead.
-test('a split heals without loss', () => {
+// Guards against a lasting split after a network partition of one minute. Each
+// side holds the other's members as dead, and without contact to dead members
+// neither side would learn that they are running.
+test('all members are known again after a network partition', () => {
   const {clock, network, members} = createSite(36);
   clock.advanceSync(10_000);
   const sideOf = (address: string) =>
@@ -146,9 +146,9 @@
   for (const member of members) assert.equal(countRunning(member), 36);
 });
 
-// A host that stood still for 10 s (a snapshot, SIGSTOP) comes back and must
-// neither call the others dead nor stay dead in their view.
-test('a host that was cut off for 10 s comes back under its identity', () => {
+// Guards against a host that was paused for 10 s, for example by a snapshot or
+// SIGSTOP, and then declares the others dead or stays dead in their view.
+test('a host that was cut off for 10 s is known as running again', () => {
   const {clock, network, members, listed} = createSite(9);
   clock.advanceSync(5_000);
   const address = listed[3].address;
@@ -160,7 +160,7 @@
   for (const member of members) assert.equal(countRunning(member), 9);
 });
 
-test('a datagram under another key changes nothing', () => {
+test('datagrams sealed with another key are refused', () => {
   const {clock, network, members, listed} = createSite(9);
   clock.advanceSync(5_000);
   const stranger = createMembership(
@@ -186,7 +186,7 @@
   assert.ok(members.some(member => member.counts().refusedDatagrams > 0));
 });
 
-test('a relayed fact reaches all, and an older version never replaces it', () => {
+test('a relayed fact reaches all hosts and is not replaced by an older one', () => {
   const {clock, members} = createSite(36);
   clock.advanceSync(10_000);
   const publish = (index: number, version: number) =>
--- a/tests/coordination/orders_test.ts
+++ b/tests/coordination/orders_test.ts
@@ -15,7 +15,7 @@
 import type {EngineOrder, OrderOutcome} from '../../src/ports/engine.js';
 import {createFakeTable, type FakeTable} from './fake_table.js';
 
-/** An engine that takes `latencyMs` to hear an order and runs it at once. */
+/** An engine that receives orders after `latencyMs` and runs them at once. */
 function createEngine(clock: VirtualClock, checksFences: boolean) {
   const engine = {
     role: 'prefill' as 'prefill' | 'decode',
@@ -86,7 +86,7 @@
           action.kind === 'change-role' && action.role === engine.role,
       }),
       async order(_engineId, order) {
-        // The process stops here: after its check, before the send.
+        // Simulates a pause of the process after its check, before the send.
         await new Promise<void>(resolve => {
           clock.setTimer(state.sendDelayMs, resolve);
         });
@@ -108,7 +108,7 @@
   return {giver, leases, state};
 }
 
-/** The old orderer is paused between its check and its send for 10 s. */
+/** Pauses the first orderer for 10 s between its check and its send. */
 async function pauseBeforeSend(checksFences: boolean): Promise<Engine> {
   const clock = createVirtualClock();
   const table = createFakeTable();
@@ -128,10 +128,9 @@
   return engine;
 }
 
-// An engine serves the wrong role although the operators see the right one
-// ordered. The old orderer is stopped between its check and the send; its
-// order arrives after its successor's. Engines that check fences refuse it.
-test('a paused orderer applies nothing at engines that check fences', async () => {
+// Guards against an engine in the wrong role: the first orderer is paused
+// between its check and the send, so its order arrives after its successor's.
+test('engines that check fences reject the order of a paused orderer', async () => {
   const engine = await pauseBeforeSend(true);
   assert.equal(engine.fenced, 1);
   assert.deepEqual(
@@ -141,9 +140,9 @@
   assert.equal(engine.role, 'prefill');
 });
 
-// The same where engines ignore fences: the late order runs. This is the risk
-// that remains; the successor sees the wrong role and mends it.
-test('without fences the late order runs and is mended', async () => {
+// The same with an engine that ignores fences: the late order runs, and the
+// successor observes the wrong role and corrects it.
+test('without fence checks the late order runs and is corrected', async () => {
   const engine = await pauseBeforeSend(false);
   assert.equal(engine.fenced, 0);
   assert.notDeepEqual(
@@ -153,7 +152,7 @@
   assert.equal(engine.role, 'prefill');
 });
 
-test('a new orderer waits out the life of older orders', async () => {
+test('a new orderer waits for the longest validity of older orders', async () => {
   const clock = createVirtualClock();
   const table = createFakeTable();
   const engine = createEngine(clock, false);
@@ -166,7 +165,7 @@
   assert.equal(engine.role, 'decode');
 });
 
-test('a limited rate is shared max-min fairly', () => {
+test('a limited rate is divided max-min fairly', () => {
   const shares = shareFairly(100, [
     {name: 'a', wanted: 10},
     {name: 'b', wanted: 80},
@@ -178,7 +177,7 @@
   );
 });
 
-test('loads keep to the rate over time, however large each is', () => {
+test('spending stays within the rate over time, also in large amounts', () => {
   const clock = createVirtualClock();
   const limit = createSpendLimit(clock, () => 10);
   let spent = 0;
--- a/tests/coordination/ownership_test.ts
+++ b/tests/coordination/ownership_test.ts
@@ -16,7 +16,7 @@
 const ownerOf = (hosts: readonly OwnerCandidate[], key: string) =>
   rankOwners(hosts, {key, count: 1})[0].hostId;
 
-test('only keys of a lost host move', () => {
+test('only keys of a removed host change their owner', () => {
   const hosts = createHosts(12);
   const fewer = hosts.filter(host => host.hostId !== 'host-5');
   for (const key of KEYS) {
@@ -25,7 +25,7 @@
   }
 });
 
-test('keys follow weights', () => {
+test('the share of keys follows the weights', () => {
   const hosts = createHosts(4).map((host, index) => ({
     ...host,
     weight: index === 0 ? 3 : 1,
@@ -34,14 +34,14 @@
   assert.ok(Math.abs(owned / KEYS.length - 0.5) < 0.05, `${owned}`);
 });
 
-test('owners of a key lie in different failure domains', () => {
+test('owners of a key are in different failure domains', () => {
   for (const key of KEYS) {
     const owners = rankOwners(createHosts(12), {key, count: 4});
     assert.equal(new Set(owners.map(o => o.failureDomain)).size, 4);
   }
 });
 
-test('the history tells who owned a key and when', () => {
+test('the history records each owner of a key with its time', () => {
   const clock = createVirtualClock(1_000);
   let hosts = createHosts(4);
   const ownership = createOwnership({clock, candidates: () => hosts});
--- a/tests/coordination/short_lease_test.ts
+++ b/tests/coordination/short_lease_test.ts
@@ -6,7 +6,7 @@
 import type {TablePort, TableRow, WriteOutcome} from '../../src/ports/table.js';
 import {silentLog} from '../support/silent_log.js';
 
-/** One table, whose answers to writes can be lost. */
+/** A table whose answers to writes can be lost. */
 function makeTable(tableNowMs: () => number) {
   const rows = new Map<string, TableRow>();
   let version = 10;
@@ -49,7 +49,7 @@
   return {
     table,
     copy: () => ({rows: new Map(rows), version}),
-    /** Comes back from an older copy; its numbers are given out again. */
+    /** Restores an older copy, so that versions are reused. */
     restore(copy: {rows: Map<string, TableRow>; version: number}) {
       rows.clear();
       for (const [key, row] of copy.rows) rows.set(key, row);
@@ -67,7 +67,7 @@
 
 function makeHosts() {
   const steady = createVirtualClock(1_000);
-  /** What the hosts' steady clocks have not counted. */
+  /** Time that the hosts' monotonic clocks have not counted. */
   let suspendedMs = 0;
   let steppedMs = 0;
   const clock = {
@@ -103,17 +103,17 @@
   };
 }
 
-test('a second host waits a whole lease, and its fence is higher', async () => {
-  // Two hosts give orders to one engine in turn: the second took the lease
-  // while the first's orders were still on their way.
+test('a second host waits a whole lease duration and gets a higher fence', async () => {
+  // Guards against a second host that acquires the lease while orders of the
+  // first are still in flight.
   const {clock, a, b} = makeHosts();
   const first = await a.acquire();
   assert.equal(first?.fence.epoch, 1);
   assert.equal(await b.acquire(), undefined);
   await clock.advance(2_900);
   assert.equal(await b.acquire(), undefined);
-  // The first's last order may have been sent 0.9 s after its take and have
-  // arrived 0.8 s later; a whole lease lies between that and the second's.
+  // The first host's last order may be sent 0.9 s after its acquisition and
+  // arrive 0.8 s later; a whole lease duration must follow.
   await clock.advance(1_700);
   assert.equal(await b.acquire(), undefined);
   await clock.advance(200);
@@ -122,29 +122,29 @@
   assert.equal(await a.acquire(), undefined);
 });
 
-test('the holder takes it again at once, under a new fence', async () => {
+test('the holder can acquire it again at once, with a new fence', async () => {
   const {a} = makeHosts();
   assert.equal((await a.acquire())?.fence.epoch, 1);
   assert.equal((await a.acquire())?.fence.epoch, 2);
 });
 
-test('orders may go out in the first part of a lease only', async () => {
+test('a term ends after the use time', async () => {
   const {clock, a} = makeHosts();
   const term = await a.acquire();
   assert.ok(term);
   assert.equal(term.untilMs, clock.nowMs() + 900);
 });
 
-test('a lease whose answer was lost is known by reading it back', async () => {
+test('an acquisition whose answer was lost is detected by read-back', async () => {
   const {store, a, b} = makeHosts();
   store.loseAnswers();
   assert.equal((await a.acquire())?.fence.epoch, 1);
   assert.equal(await b.acquire(), undefined);
 });
 
-test("a term ends by the store's clock where the holder was suspended", async () => {
-  // A host is suspended for 2 s with a lease in its hands. Its steady clock
-  // stood still, so it goes on to give an order that is no longer its right.
+test("a term expires by the table's clock after a suspension", async () => {
+  // Guards against an order sent after the term by a host that was suspended
+  // for 2 s, since its monotonic clock stops during a suspension.
   const {a, suspend} = makeHosts();
   const term = await a.acquire();
   assert.ok(term);
@@ -153,10 +153,10 @@
   assert.equal(await a.confirm(term), 'expired');
 });
 
-test('a step of the time of day hides no suspension and ends no term', async () => {
-  // The time of day jumps by seconds either way on a host that runs on: its
-  // orders must go out. Where it jumps back by just as much as the host was
-  // suspended, the time of day shows nothing; the store's clock does.
+test('a wall clock step does not hide a suspension or end a term', async () => {
+  // A wall clock step on a running host must not block its orders. A step back
+  // by the length of a suspension hides it from the wall clock, but not from
+  // the table's clock.
   const {a, step, suspend} = makeHosts();
   const term = await a.acquire();
   assert.ok(term);
@@ -169,9 +169,9 @@
   assert.equal(await a.confirm(term), 'expired');
 });
 
-test('a suspension while the store answers is seen by the time of day', async () => {
-  // The store answered in time, but the answer lay unread while the host was
-  // suspended: the store's clock in it is from before.
+test('a suspension during the read is detected by the wall clock', async () => {
+  // The answer was unread while the host was suspended, so the table's clock
+  // in it is from before the suspension.
   const {store, a, suspend} = makeHosts();
   const term = await a.acquire();
   assert.ok(term);
@@ -180,7 +180,7 @@
   store.whileReading(() => undefined);
 });
 
-test('a term that another host has taken over is lost', async () => {
+test('a term is lost after another host has acquired the lease', async () => {
   const {clock, a, b} = makeHosts();
   const term = await a.acquire();
   assert.ok(term);
@@ -190,38 +190,38 @@
   assert.equal(await a.confirm(term), 'lost');
 });
 
-/** From the first act of a holder until another host may act. */
-const TURN_MS = 4_800;
+/** Time from an acquisition until another host may acquire the lease. */
+const TAKEOVER_MS = 4_800;
 
-test('a lease that the table lost is not taken while its holder may act', async () => {
-  // Guards against two hosts that give orders at once.
+test('a lease missing from a restored table cannot be acquired at once', async () => {
+  // Guards against two hosts that send orders at the same time.
   const {clock, store, a, b} = makeHosts();
   const empty = store.copy();
   assert.ok(await a.acquire());
   store.restore(empty);
   assert.equal(await b.acquire(), undefined);
-  await clock.advance(TURN_MS - 300);
+  await clock.advance(TAKEOVER_MS - 300);
   assert.equal(await b.acquire(), undefined);
   await clock.advance(300);
   assert.ok(await b.acquire());
 });
 
-test('an older row of its own does not let a host take what another has', async () => {
-  // Guards against a host that was the last holder as of the older copy.
+test('a host cannot reacquire by its own older row after a restore', async () => {
+  // Guards against two holders if the older copy names a former holder.
   const {clock, store, a, b} = makeHosts();
   assert.ok(await b.acquire());
   const copy = store.copy();
   await a.acquire();
-  await clock.advance(TURN_MS);
+  await clock.advance(TAKEOVER_MS);
   assert.ok(await a.acquire());
   store.restore(copy);
   assert.equal(await b.acquire(), undefined);
-  await clock.advance(TURN_MS);
+  await clock.advance(TAKEOVER_MS);
   assert.ok(await b.acquire());
 });
 
-test('a holder stops where the table comes back from an older copy', async () => {
-  // Guards against orders under a lease that nobody else can see.
+test('a term is lost after the table was restored from an older copy', async () => {
+  // Guards against orders under a lease that other hosts cannot see.
   const {store, a} = makeHosts();
   const empty = store.copy();
   const term = await a.acquire();
@@ -233,8 +233,8 @@
   assert.equal(await a.confirm(term), 'lost');
 });
 
-test('fences rise though the table goes back', async () => {
-  // Guards against engines that refuse all orders, having seen a higher fence.
+test('fences increase after the table was restored from an older copy', async () => {
+  // Guards against engines that reject all orders because of a higher fence.
   const {clock, store, a} = makeHosts();
   assert.ok(await a.acquire());
   const copy = store.copy();
@@ -245,7 +245,7 @@
   assert.equal(highest, 6);
   store.restore(copy);
   await a.acquire();
-  await clock.advance(TURN_MS);
+  await clock.advance(TAKEOVER_MS);
   const next = (await a.acquire())?.fence.epoch ?? 0;
   assert.ok(next > highest, `${next}`);
   assert.equal((await a.acquire())?.fence.epoch, next + 1);
--- a/tests/coordination/virtual_network.ts
+++ b/tests/coordination/virtual_network.ts
@@ -1,4 +1,4 @@
-/** Datagrams between members in one process, in virtual time. */
+/** Transfers datagrams between members in one process, in virtual time. */
 
 import type {Clock} from '../../src/ports/clock.js';
 import type {DatagramPort} from '../../src/ports/datagram.js';
@@ -6,10 +6,10 @@
 
 export interface VirtualNetwork {
   open(address: string): DatagramPort;
-  /** Share of datagrams lost. */
+  /** Share of datagrams that are lost. */
   loss: number;
   latencyMs: number;
-  /** Whether a datagram may pass; a test splits the network with it. */
+  /** Whether a datagram is delivered; used to simulate partitions. */
   passes: (from: string, to: string) => boolean;
 }
 
