--- a/src/core/request/journal_rows.ts
+++ b/src/core/request/journal_rows.ts
@@ -1,4 +1,4 @@
-/** Rows of the journal, and the decisions taken from them. */
+/** Rows of the journal, and the decisions based on them. */
 
 import {z} from 'zod';
 import type {
@@ -9,33 +9,33 @@
 } from '../../ports/journal.js';
 import type {JsonRecord} from '../../ports/table.js';
 
-const rowBase = {
+const rowFields = {
   attemptId: z.string(),
   fingerprint: z.string(),
   entry: z.string(),
-  /** Unix time after which the key counts as new. */
+  /** Unix time in ms after which the key is treated as new. */
   expiresAtWallMs: z.number(),
 };
 
 const answerSchema = z.object({
   status: z.number(),
   headers: z.record(z.string(), z.string()),
-  /** Base64; absent when the body lies in the object store. */
+  /** Base64; absent if the body is in the object store. */
   body: z.string().optional(),
   objectKey: z.string().optional(),
 });
 
 const rowSchema = z.discriminatedUnion('state', [
-  z.object({...rowBase, state: z.literal('intended')}),
-  z.object({...rowBase, state: z.literal('unknown')}),
-  z.object({...rowBase, state: z.literal('answered'), answer: answerSchema}),
+  z.object({...rowFields, state: z.literal('intended')}),
+  z.object({...rowFields, state: z.literal('unknown')}),
+  z.object({...rowFields, state: z.literal('answered'), answer: answerSchema}),
 ]);
 
-/** What the table holds under one key. */
+/** The table row of one key. */
 export type JournalRow = Readonly<z.infer<typeof rowSchema>>;
 export type RowAnswer = Readonly<z.infer<typeof answerSchema>>;
 
-/** Undefined for a row that cannot be read; such a key never runs. */
+/** Returns undefined for a malformed row; calls with its key are not run. */
 export function parseJournalRow(value: JsonRecord): JournalRow | undefined {
   const parsed = rowSchema.safeParse(value);
   return parsed.success ? parsed.data : undefined;
@@ -44,9 +44,9 @@
 export const JOURNAL_PREFIX = 'journal/';
 
 /**
- * Where a key's row lies. It does not name the partition: when operators change
- * the number of partitions, a key must find the row that it had before, or its
- * call would run again.
+ * Returns the table key of a request's row. It does not contain the partition,
+ * because the row must be found after the number of partitions changes;
+ * otherwise the call would run again.
  */
 export function journalRowKey(
   request: Pick<IntentRequest, 'account' | 'service' | 'idempotencyKey'>,
@@ -55,7 +55,7 @@
   return JOURNAL_PREFIX + parts.map(encodeURIComponent).join('/');
 }
 
-/** Row that orders all writes of one partition. */
+/** Returns the key of the row that orders all writes of one partition. */
 export function journalHeadKey(partition: number): string {
   return `journal_head/${partition}`;
 }
@@ -87,7 +87,7 @@
   return row.attemptId === request.attemptId && row.entry === request.entry;
 }
 
-/** Whether a call may start, given what its key's row says. */
+/** Decides from the row of its key whether a call may start. */
 export function decideBegin(
   row: JournalRow | undefined,
   request: IntentRequest,
@@ -103,7 +103,7 @@
     case 'unknown':
       return done({kind: 'outcome-unknown', attemptId: row.attemptId});
     case 'intended':
-      // The reply to the first asking may have been lost on the way.
+      // The answer to an earlier attempt may have been lost.
       if (isOwnIntent(row, request)) return done({kind: 'proceed'});
       return facts.isEntryAlive(row.entry)
         ? done({kind: 'running', retryAfterMs: facts.runningRetryMs})
@@ -116,7 +116,7 @@
   | {readonly kind: 'delete'}
   | {readonly kind: 'done'; readonly isDurable: boolean};
 
-/** How a call's end changes its key's row. */
+/** Decides how the outcome of a call changes the row of its key. */
 export function decideEnd(
   row: JournalRow | undefined,
   request: IntentRequest,
--- a/src/core/request/model_errors.ts
+++ b/src/core/request/model_errors.ts
@@ -1,4 +1,4 @@
-/** What a model request's caller is told when no whole answer comes. */
+/** Errors returned to the caller of a model request. */
 
 import type {GrantRefusal} from '../../ports/grants.js';
 import type {ErrorKind, RequestError} from '../error_kinds.js';
@@ -16,8 +16,8 @@
     cancelled: 'overloaded',
   };
 
-/** The honest answer for a request that will not be tried again. */
-export function lastError(
+/** Returns the error of a request that will not be retried. */
+export function finalError(
   facts: ModelFacts,
   state: ModelState,
   notRun: RequestError,
@@ -40,31 +40,34 @@
   return {...notRun, retryAfterMs};
 }
 
-export function waitOver(facts: ModelFacts, state: ModelState): RequestError {
+export function deadlineError(
+  facts: ModelFacts,
+  state: ModelState,
+): RequestError {
   const retryAfterMs = facts.policy.defaultRetryAfterMs;
   if (state.deliveredTokens > 0) {
     return {
       kind: 'answer-cut',
-      detail: 'The wait ended while the stream was broken.',
+      detail: 'The deadline passed while the stream was interrupted.',
       retryAfterMs,
     };
   }
   return hasModelRun(state)
     ? {
         kind: 'deadline-passed',
-        detail: 'No token came within the wait.',
+        detail: 'No token was generated before the deadline.',
         retryAfterMs,
       }
     : {
         kind: 'deadline-not-run',
-        detail: 'No engine was free within the wait.',
+        detail: 'No engine was available before the deadline.',
         retryAfterMs,
       };
 }
 
-export function hungUp(state: ModelState): RequestError {
+export function callerGoneError(state: ModelState): RequestError {
   return {
     kind: hasModelRun(state) ? 'deadline-passed' : 'deadline-not-run',
-    detail: 'The caller hung up.',
+    detail: 'The caller closed the connection.',
   };
 }
--- a/src/core/request/model_held.ts
+++ b/src/core/request/model_held.ts
@@ -1,11 +1,11 @@
 /**
- * What each step of a model request holds at engines and homes, and how it is
- * given back. Each way out of a step goes through here.
+ * The resources that each step of a model request holds at engines and homes,
+ * and the effects that release them. Every exit from a step uses this file.
  */
 
 import type {ModelEffect, ModelState} from './model_types.js';
 
-/** Whether an upstream may have computed something for this request. */
+/** Whether an engine may have executed a part of this request. */
 export function hasModelRun(state: ModelState): boolean {
   switch (state.step) {
     case 'prefilling':
@@ -17,15 +17,15 @@
   }
 }
 
-export function isWaste(state: ModelState): boolean {
+export function isPrefillWasted(state: ModelState): boolean {
   if (state.step === 'importing') return true;
   return (
     state.step === 'decoding' && state.deliveredTokens === state.runStartTokens
   );
 }
 
-/** Gives back what the current step holds at engines. */
-export function engineReleases(state: ModelState): readonly ModelEffect[] {
+/** Returns the effects that release the current step's engine resources. */
+export function getEngineReleases(state: ModelState): readonly ModelEffect[] {
   const {step, grant, attempt} = state;
   if (!grant) return [];
   const prefill = {
@@ -50,7 +50,7 @@
   }
 }
 
-export function endGrant(
+export function reportGrantEnd(
   state: ModelState,
   result: 'whole' | 'cancelled' | 'failed',
   failure?: {readonly engineId?: string; readonly isWasted: boolean},
@@ -71,17 +71,17 @@
   ];
 }
 
-/** Everything held in the current step: queue place, engines, grant. */
-export function heldEffects(
+/** Returns the effects that release the queue entry, engines and grant. */
+export function getReleaseEffects(
   state: ModelState,
   result: 'cancelled' | 'failed',
 ): readonly ModelEffect[] {
   const waiting: readonly ModelEffect[] =
     state.step === 'awaiting-grant' ? [{kind: 'abandon-grant-request'}] : [];
-  const isWasted = state.failure?.wasPrefillWasted ?? isWaste(state);
+  const isWasted = state.failure?.wasPrefillWasted ?? isPrefillWasted(state);
   return [
     ...waiting,
-    ...engineReleases(state),
-    ...endGrant(state, result, {isWasted}),
+    ...getEngineReleases(state),
+    ...reportGrantEnd(state, result, {isWasted}),
   ];
 }
--- a/src/core/request/model_machine.ts
+++ b/src/core/request/model_machine.ts
@@ -1,24 +1,24 @@
 /**
- * The life of one model request as a pure state machine: from the state and
- * an event to the next state and the effects that a task must carry out.
+ * The lifecycle of one model request as a pure state machine. It maps a state
+ * and an event to the next state and the effects that the task must perform.
  */
 
-import {hungUp, lastError, waitOver} from './model_errors.js';
-import {endGrant} from './model_held.js';
+import {callerGoneError, finalError, deadlineError} from './model_errors.js';
+import {reportGrantEnd} from './model_held.js';
 import {
-  askGrant,
-  askRetry,
-  certainRefusals,
+  requestGrant,
+  requestRetry,
+  notRunReasons,
   decodeFailed,
   deliver,
   ended,
   giveUp,
   grantRefused,
-  lostAdoption,
-  onTokens,
+  restartAfterLostAdoption,
+  handleFrame,
   runFailed,
   startPrefill,
-  stay,
+  transitionTo,
   type ModelTransition,
 } from './model_runs.js';
 import type {
@@ -34,7 +34,7 @@
   attempt: 0,
   runs: 0,
   failedEngineIds: [],
-  grantAsks: 0,
+  failedGrantRequests: 0,
   deliveredTokens: 0,
   runStartTokens: 0,
   mayHaveRun: false,
@@ -49,7 +49,7 @@
   return state.step === step && state.attempt === attempt;
 }
 
-function canServe(facts: ModelFacts, state: ModelState, nowMs: number) {
+function hasTimeToServe(facts: ModelFacts, state: ModelState, nowMs: number) {
   if (state.isAbandoned) return true;
   return nowMs + facts.policy.minServeMs <= facts.deadlineAtMs;
 }
@@ -57,16 +57,16 @@
 const handlers: Handlers<ModelFacts, ModelState, ModelEvent, ModelEffect> = {
   started(facts, state) {
     return facts.isKeyed
-      ? stay({...state, step: 'looking-up'}, {kind: 'look-up'})
-      : askGrant(state);
+      ? transitionTo({...state, step: 'looking-up'}, {kind: 'look-up'})
+      : requestGrant(state);
   },
   'looked-up'(facts, state, event) {
-    if (state.step !== 'looking-up') return stay(state);
+    if (state.step !== 'looking-up') return transitionTo(state);
     switch (event.outcome) {
       case 'run':
-        return askGrant(state);
+        return requestGrant(state);
       case 'adopted':
-        return stay(
+        return transitionTo(
           {...state, step: 'adopted', mayHaveRun: true},
           {
             kind: 'set-timer',
@@ -75,7 +75,7 @@
           },
         );
       case 'replayed':
-        return stay(ended(state));
+        return transitionTo(ended(state));
       case 'conflict':
         return giveUp(state, {
           kind: 'key-conflict',
@@ -85,16 +85,17 @@
   },
   'adopted-tokens'(facts, state, event) {
     if (state.step !== 'adopted') {
-      return stay(state, {kind: 'drop', what: 'late'});
+      return transitionTo(state, {kind: 'drop', what: 'late'});
     }
     return deliver(facts, state, event.offset, event.texts);
   },
   'adopted-end'(_facts, state, event) {
     if (state.step !== 'adopted') {
-      return stay(state, {kind: 'drop', what: 'late'});
+      return transitionTo(state, {kind: 'drop', what: 'late'});
     }
-    if (event.tokenCount !== state.deliveredTokens) return lostAdoption(state);
-    return stay(
+    if (event.tokenCount !== state.deliveredTokens)
+      return restartAfterLostAdoption(state);
+    return transitionTo(
       ended(state),
       {kind: 'clear-timer', timer: 'step'},
       {
@@ -105,53 +106,61 @@
     );
   },
   'adoption-lost'(_facts, state) {
-    return state.step === 'adopted' ? lostAdoption(state) : stay(state);
+    return state.step === 'adopted'
+      ? restartAfterLostAdoption(state)
+      : transitionTo(state);
   },
   'grant-given'(facts, state, event) {
     const {grant} = event;
-    // A grant that comes after its request was given up still holds a slot at
-    // the home; unreported, the slot would stay promised until it lapses.
+    // A grant that arrives after its request was cancelled still reserves a
+    // slot at the home; without a report the slot stays reserved until expiry.
     if (!isCurrent(state, event.attempt, 'awaiting-grant')) {
-      return stay(state, ...endGrant({...state, grant}, 'cancelled'), {
-        kind: 'drop',
-        what: 'late',
-      });
+      return transitionTo(
+        state,
+        ...reportGrantEnd({...state, grant}, 'cancelled'),
+        {
+          kind: 'drop',
+          what: 'late',
+        },
+      );
     }
     if (grant.startInMs <= 0) return startPrefill(facts, state, grant);
-    return stay(
+    return transitionTo(
       {...state, step: 'awaiting-start', grant},
       {kind: 'set-timer', timer: 'start', delayMs: grant.startInMs},
     );
   },
   'grant-refused'(facts, state, event) {
-    if (!isCurrent(state, event.attempt, 'awaiting-grant')) return stay(state);
+    if (!isCurrent(state, event.attempt, 'awaiting-grant'))
+      return transitionTo(state);
     return grantRefused(facts, state, event.refusal);
   },
   'start-due'(facts, state, event) {
-    if (!isCurrent(state, event.attempt, 'awaiting-start')) return stay(state);
+    if (!isCurrent(state, event.attempt, 'awaiting-start'))
+      return transitionTo(state);
     if (event.isStale) {
-      const asked = askGrant(state);
-      return stay(
-        asked.state,
-        ...endGrant(state, 'cancelled'),
-        ...asked.effects,
+      const retried = requestGrant(state);
+      return transitionTo(
+        retried.state,
+        ...reportGrantEnd(state, 'cancelled'),
+        ...retried.effects,
       );
     }
-    if (!canServe(facts, state, event.nowMs)) {
-      return giveUp(state, waitOver(facts, state));
+    if (!hasTimeToServe(facts, state, event.nowMs)) {
+      return giveUp(state, deadlineError(facts, state));
     }
     return startPrefill(facts, state, state.grant!);
   },
   'prefill-done'(facts, state, event) {
     const {attempt, grant} = event;
     if (!isCurrent(state, attempt, 'prefilling')) {
-      return stay(
+      return transitionTo(
         state,
         {kind: 'release', attempt, address: grant.prefillAddress},
         {kind: 'drop', what: 'late'},
       );
     }
-    return stay(
+    return transitionTo(
       {...state, step: 'importing'},
       {
         kind: 'report',
@@ -179,13 +188,13 @@
   'import-done'(facts, state, event) {
     const {attempt, grant} = event;
     if (!isCurrent(state, attempt, 'importing')) {
-      return stay(
+      return transitionTo(
         state,
         {kind: 'release', attempt, address: grant.decodeAddress},
         {kind: 'drop', what: 'late'},
       );
     }
-    return stay(
+    return transitionTo(
       {...state, step: 'decoding'},
       {kind: 'report', grant, progress: {kind: 'decode-started'}},
       {kind: 'release', attempt, address: grant.prefillAddress},
@@ -212,29 +221,29 @@
     if (isCurrent(state, attempt, step)) {
       return runFailed(state, {engineId, address}, failure.reason);
     }
-    // The cancel may have overtaken the call, and the engine may have begun
-    // after it; a second release frees what the first one could not see.
-    return certainRefusals.has(failure.reason)
-      ? stay(state)
-      : stay(state, {kind: 'release', attempt, address});
+    // The release may have reached the engine before the call did. A second
+    // release frees resources that the engine allocated in between.
+    return notRunReasons.has(failure.reason)
+      ? transitionTo(state)
+      : transitionTo(state, {kind: 'release', attempt, address});
   },
   frame(facts, state, event) {
     if (event.requestId !== facts.requestId || !event.isOwnAttempt) {
-      return stay(state, {kind: 'drop', what: 'crossed'});
+      return transitionTo(state, {kind: 'drop', what: 'crossed'});
     }
     if (!isCurrent(state, event.attempt, 'decoding')) {
-      // A cut follows each cancel and is expected.
+      // A `cut` frame is expected after each cancellation.
       return event.frame.kind === 'cut'
-        ? stay(state)
-        : stay(state, {kind: 'drop', what: 'late'});
+        ? transitionTo(state)
+        : transitionTo(state, {kind: 'drop', what: 'late'});
     }
-    return onTokens(facts, state, event);
+    return handleFrame(facts, state, event);
   },
   'step-timeout'(_facts, state, event) {
-    if (state.attempt !== event.attempt) return stay(state);
+    if (state.attempt !== event.attempt) return transitionTo(state);
     switch (state.step) {
       case 'adopted':
-        return lostAdoption(state);
+        return restartAfterLostAdoption(state);
       case 'prefilling':
         return runFailed(
           state,
@@ -248,56 +257,56 @@
       case 'decoding':
         return decodeFailed(state, 'timeout');
       default:
-        return stay(state);
+        return transitionTo(state);
     }
   },
   probed(_facts, state, event) {
-    if (!isCurrent(state, event.attempt, 'probing')) return stay(state);
-    if (event.isAlive) return askRetry(state, [], false);
+    if (!isCurrent(state, event.attempt, 'probing')) return transitionTo(state);
+    if (event.isAlive) return requestRetry(state, [], false);
     const failure = state.failure!;
-    // An engine that was never reached cannot have died of this request.
-    const isSuspect = failure.reason !== 'unreachable';
-    const blame: readonly ModelEffect[] = isSuspect
+    // A request that never reached the engine cannot have crashed it.
+    const mayHaveCrashed = failure.reason !== 'unreachable';
+    const blame: readonly ModelEffect[] = mayHaveCrashed
       ? [{kind: 'blame', engineId: failure.engineId}]
       : [];
-    return askRetry(state, blame, true);
+    return requestRetry(state, blame, true);
   },
   'retry-allowed'(facts, state, event) {
-    if (state.step !== 'asking-retry') return stay(state);
+    if (state.step !== 'asking-retry') return transitionTo(state);
     if (state.runs >= facts.policy.maxAttempts) {
-      return stay(ended(state), {
+      return transitionTo(ended(state), {
         kind: 'fail',
-        error: lastError(facts, state, {
+        error: finalError(facts, state, {
           kind: 'no-upstream',
-          detail: 'Several engines refused the request.',
+          detail: 'The request was refused by several engines.',
         }),
       });
     }
-    return stay(
+    return transitionTo(
       {...state, step: 'backing-off', failure: undefined},
       {kind: 'set-timer', timer: 'retry', delayMs: event.delayMs},
     );
   },
   'retry-denied'(facts, state) {
-    if (state.step !== 'asking-retry') return stay(state);
-    return stay(ended(state), {
+    if (state.step !== 'asking-retry') return transitionTo(state);
+    return transitionTo(ended(state), {
       kind: 'fail',
-      error: lastError(facts, state, {
+      error: finalError(facts, state, {
         kind: 'no-upstream',
-        detail: 'The engine refused, and no retry is allowed now.',
+        detail: 'The engine refused the request, and no retry is allowed now.',
       }),
     });
   },
   'retry-due'(facts, state, event) {
-    if (state.step !== 'backing-off') return stay(state);
-    return canServe(facts, state, event.nowMs)
-      ? askGrant(state)
-      : giveUp(state, waitOver(facts, state));
+    if (state.step !== 'backing-off') return transitionTo(state);
+    return hasTimeToServe(facts, state, event.nowMs)
+      ? requestGrant(state)
+      : giveUp(state, deadlineError(facts, state));
   },
   'caller-gone'(facts, state) {
-    if (state.step === 'ended') return stay(state);
+    if (state.step === 'ended') return transitionTo(state);
     if (facts.isKept && state.step !== 'adopted') {
-      return stay(
+      return transitionTo(
         {...state, isAbandoned: true},
         {
           kind: 'set-timer',
@@ -306,10 +315,10 @@
         },
       );
     }
-    return giveUp(state, hungUp(state));
+    return giveUp(state, callerGoneError(state));
   },
   'caller-back'(_facts, state) {
-    return stay(
+    return transitionTo(
       {...state, isAbandoned: false},
       {
         kind: 'clear-timer',
@@ -318,16 +327,17 @@
     );
   },
   'keep-bound'(_facts, state) {
-    if (state.step === 'ended' || !state.isAbandoned) return stay(state);
-    return giveUp(state, hungUp(state));
+    if (state.step === 'ended' || !state.isAbandoned)
+      return transitionTo(state);
+    return giveUp(state, callerGoneError(state));
   },
   'renew-due'(facts, state) {
     const isRunning =
       state.step === 'prefilling' ||
       state.step === 'importing' ||
       state.step === 'decoding';
-    if (!isRunning) return stay(state);
-    return stay(
+    if (!isRunning) return transitionTo(state);
+    return transitionTo(
       state,
       {
         kind: 'report',
@@ -342,22 +352,22 @@
     );
   },
   deadline(facts, state) {
-    if (state.step === 'ended' || state.isAbandoned) return stay(state);
+    if (state.step === 'ended' || state.isAbandoned) return transitionTo(state);
     const isStreaming = state.step === 'decoding' || state.step === 'adopted';
-    // A caller who already reads the answer is better served by its end, a
-    // little late, than by a cut one.
+    // A stream that has started may finish a little late, which is better for
+    // the caller than a truncated answer.
     if (isStreaming && state.deliveredTokens > 0) {
-      return stay(state, {
+      return transitionTo(state, {
         kind: 'set-timer',
         timer: 'overrun',
         delayMs: facts.policy.streamOverrunMs,
       });
     }
-    return giveUp(state, waitOver(facts, state));
+    return giveUp(state, deadlineError(facts, state));
   },
   overrun(facts, state) {
-    if (state.step === 'ended' || state.isAbandoned) return stay(state);
-    return giveUp(state, waitOver(facts, state));
+    if (state.step === 'ended' || state.isAbandoned) return transitionTo(state);
+    return giveUp(state, deadlineError(facts, state));
   },
 };
 
--- a/src/core/request/model_runs.ts
+++ b/src/core/request/model_runs.ts
@@ -1,10 +1,15 @@
-/** The steps of one run of a model request, and from one run to the next. */
+/** Transitions within a run of a model request and between its runs. */
 
 import type {EngineFailure} from '../../ports/engine.js';
 import type {Grant, GrantRefusal} from '../../ports/grants.js';
 import type {RequestError} from '../error_kinds.js';
-import {lastError, refusalKinds} from './model_errors.js';
-import {endGrant, engineReleases, heldEffects, isWaste} from './model_held.js';
+import {finalError, refusalKinds} from './model_errors.js';
+import {
+  reportGrantEnd,
+  getEngineReleases,
+  getReleaseEffects,
+  isPrefillWasted,
+} from './model_held.js';
 import type {
   ModelEffect,
   ModelEvent,
@@ -17,22 +22,22 @@
 export type ModelTransition = Transition<ModelState, ModelEffect>;
 type Frame = Extract<ModelEvent, {kind: 'frame'}>;
 
-/** Failures after which the engine certainly holds and ran nothing. */
-export const certainRefusals: ReadonlySet<EngineFailure['reason']> = new Set([
+/** Failures after which the engine neither ran the call nor holds resources. */
+export const notRunReasons: ReadonlySet<EngineFailure['reason']> = new Set([
   'refused',
   'no-capacity',
   'leaving',
   'unreachable',
 ]);
 
-/** Failures that may mean a dead engine, or only a dead connection. */
-export const doubtfulReasons: ReadonlySet<EngineFailure['reason']> = new Set([
+/** Failures caused either by a failed engine or by a failed connection. */
+export const ambiguousReasons: ReadonlySet<EngineFailure['reason']> = new Set([
   'broken',
   'timeout',
   'unreachable',
 ]);
 
-export function stay(
+export function transitionTo(
   state: ModelState,
   ...effects: ModelEffect[]
 ): ModelTransition {
@@ -47,13 +52,13 @@
   state: ModelState,
   error: RequestError,
 ): ModelTransition {
-  return stay(ended(state), ...heldEffects(state, 'cancelled'), {
+  return transitionTo(ended(state), ...getReleaseEffects(state, 'cancelled'), {
     kind: 'fail',
     error,
   });
 }
 
-export function askGrant(state: ModelState): ModelTransition {
+export function requestGrant(state: ModelState): ModelTransition {
   const next: ModelState = {
     ...state,
     step: 'awaiting-grant',
@@ -62,7 +67,7 @@
     grant: undefined,
     failure: undefined,
   };
-  return stay(next, {
+  return transitionTo(next, {
     kind: 'request-grant',
     attempt: next.attempt,
     resumeOffset: next.deliveredTokens,
@@ -78,10 +83,10 @@
     ...state,
     step: 'prefilling',
     grant,
-    grantAsks: 0,
+    failedGrantRequests: 0,
     runs: state.runs + 1,
   };
-  return stay(
+  return transitionTo(
     next,
     {kind: 'report', grant, progress: {kind: 'prefill-started'}},
     {kind: 'prefill', attempt: state.attempt, grant},
@@ -95,10 +100,10 @@
 }
 
 /**
- * Engines that the next run should avoid. An import that fails or stalls may
- * be the fault of the engine that exports, so that one is avoided as well.
+ * Returns the engines that the next run should avoid. A failed import may be
+ * caused by the exporting engine, so that engine is avoided as well.
  */
-function getSuspects(
+function getEnginesToAvoid(
   state: ModelState,
   at: {readonly engineId: string},
 ): readonly string[] {
@@ -109,11 +114,10 @@
 }
 
 /**
- * A run failed. The engines are told at once to free what they hold. When the
- * failure may be that of a connection only, a fresh one is tried before the
- * engine is blamed: a connection that a device between the hosts has forgotten
- * looks just like a dead host, and blaming the host would take good capacity
- * away.
+ * Handles a failed run and releases its resources at the engines. If only the
+ * connection may have failed, a new connection probes the engine before the
+ * failure is attributed to it: a connection dropped by a network device looks
+ * like a failed host, and excluding a healthy host would waste capacity.
  */
 export function runFailed(
   state: ModelState,
@@ -124,39 +128,43 @@
     engineId: at.engineId,
     address: at.address,
     reason,
-    wasPrefillWasted: isWaste(state),
+    wasPrefillWasted: isPrefillWasted(state),
   };
-  const isCertain = state.step === 'prefilling' && certainRefusals.has(reason);
+  const hasCertainlyNotRun =
+    state.step === 'prefilling' && notRunReasons.has(reason);
   const next: ModelState = {
     ...state,
-    mayHaveRun: state.mayHaveRun || !isCertain,
+    mayHaveRun: state.mayHaveRun || !hasCertainlyNotRun,
     failure,
-    failedEngineIds: [...state.failedEngineIds, ...getSuspects(state, at)],
+    failedEngineIds: [
+      ...state.failedEngineIds,
+      ...getEnginesToAvoid(state, at),
+    ],
   };
   const releases: readonly ModelEffect[] = [
     {kind: 'clear-timer', timer: 'step'},
-    ...engineReleases(state),
+    ...getEngineReleases(state),
   ];
-  if (!doubtfulReasons.has(reason)) {
-    return askRetry(next, releases, reason === 'leaving');
+  if (!ambiguousReasons.has(reason)) {
+    return requestRetry(next, releases, reason === 'leaving');
   }
-  return stay({...next, step: 'probing'}, ...releases, {
+  return transitionTo({...next, step: 'probing'}, ...releases, {
     kind: 'probe',
     attempt: state.attempt,
     address: at.address,
   });
 }
 
-export function askRetry(
+export function requestRetry(
   state: ModelState,
   before: readonly ModelEffect[],
   isEngineToBlame: boolean,
 ): ModelTransition {
   const failure = state.failure;
-  return stay(
+  return transitionTo(
     {...state, step: 'asking-retry', grant: undefined},
     ...before,
-    ...endGrant(state, 'failed', {
+    ...reportGrantEnd(state, 'failed', {
       engineId: isEngineToBlame ? failure?.engineId : undefined,
       isWasted: failure?.wasPrefillWasted ?? false,
     }),
@@ -182,45 +190,45 @@
   offset: number,
   texts: readonly string[],
 ): ModelTransition {
-  const known = state.deliveredTokens - offset;
-  if (known >= texts.length && texts.length > 0) {
-    return stay(state, {kind: 'drop', what: 'repeated'});
+  const repeatedTokens = state.deliveredTokens - offset;
+  if (repeatedTokens >= texts.length && texts.length > 0) {
+    return transitionTo(state, {kind: 'drop', what: 'repeated'});
   }
-  // A gap means that a frame was lost: to go on would hand over an answer
-  // with a hole. The stream is cut here and resumed from what was delivered.
-  if (known < 0) {
+  // A gap means that a frame was lost. The stream is stopped and resumed after
+  // the last delivered token, so that the answer has no gap.
+  if (repeatedTokens < 0) {
     return state.step === 'decoding'
       ? decodeFailed(state, 'broken')
-      : lostAdoption(state);
+      : restartAfterLostAdoption(state);
   }
-  const fresh = known === 0 ? texts : texts.slice(known);
+  const newTexts = repeatedTokens === 0 ? texts : texts.slice(repeatedTokens);
   const next = {
     ...state,
-    deliveredTokens: state.deliveredTokens + fresh.length,
+    deliveredTokens: state.deliveredTokens + newTexts.length,
   };
   const delivery: ModelEffect = {
     kind: 'deliver',
     offset: state.deliveredTokens,
-    texts: fresh,
+    texts: newTexts,
   };
   const timer: ModelEffect = {
     kind: 'set-timer',
     timer: 'step',
     delayMs: facts.policy.tokenProgressMs,
   };
-  return stay(next, delivery, timer);
+  return transitionTo(next, delivery, timer);
 }
 
-export function lostAdoption(state: ModelState): ModelTransition {
-  const asked = askGrant(state);
-  return stay(
-    asked.state,
+export function restartAfterLostAdoption(state: ModelState): ModelTransition {
+  const restarted = requestGrant(state);
+  return transitionTo(
+    restarted.state,
     {kind: 'clear-timer', timer: 'step'},
-    ...asked.effects,
+    ...restarted.effects,
   );
 }
 
-export function onTokens(
+export function handleFrame(
   facts: ModelFacts,
   state: ModelState,
   event: Frame,
@@ -230,14 +238,14 @@
     return deliver(facts, state, frame.offset, frame.texts);
   }
   if (frame.kind === 'cut') return decodeFailed(state, frame.failure.reason);
-  // An end that names another length than was delivered hides a lost frame.
+  // A final length that differs from the delivered one shows a lost frame.
   if (frame.tokenCount !== state.deliveredTokens) {
     return decodeFailed(state, 'broken');
   }
-  return stay(
+  return transitionTo(
     ended(state),
     {kind: 'clear-timer', timer: 'step'},
-    ...endGrant(state, 'whole'),
+    ...reportGrantEnd(state, 'whole'),
     {
       kind: 'finish',
       finishReason: frame.finishReason,
@@ -251,21 +259,21 @@
   state: ModelState,
   refusal: GrantRefusal,
 ): ModelTransition {
-  const grantAsks = state.grantAsks + 1;
+  const failedGrantRequests = state.failedGrantRequests + 1;
   const isHomeLost =
     refusal.reason === 'home-moved' || refusal.reason === 'unreachable';
-  // A stream that has begun is worth waiting for a place to resume it.
-  const isWorthAsking = isHomeLost || state.deliveredTokens > 0;
-  if (isWorthAsking && grantAsks < facts.policy.maxGrantAsks) {
-    return stay(
-      {...state, step: 'backing-off', grantAsks},
+  // A started stream waits for an engine that can resume it.
+  const shouldRetry = isHomeLost || state.deliveredTokens > 0;
+  if (shouldRetry && failedGrantRequests < facts.policy.maxGrantAsks) {
+    return transitionTo(
+      {...state, step: 'backing-off', failedGrantRequests},
       {kind: 'set-timer', timer: 'retry', delayMs: refusal.retryAfterMs},
     );
   }
-  const error = lastError(facts, state, {
+  const error = finalError(facts, state, {
     kind: refusalKinds[refusal.reason],
-    detail: 'No engine could be promised within the wait.',
+    detail: 'No engine could be reserved before the deadline.',
     retryAfterMs: refusal.retryAfterMs,
   });
-  return stay(ended(state), {kind: 'fail', error});
+  return transitionTo(ended(state), {kind: 'fail', error});
 }
--- a/src/core/request/model_types.ts
+++ b/src/core/request/model_types.ts
@@ -5,23 +5,23 @@
 import type {RequestError} from '../error_kinds.js';
 
 export interface ModelPolicy {
-  /** Runs of one request, the first one included. */
+  /** Maximum runs of one request, including the first. */
   readonly maxAttempts: number;
-  /** Times a lost or moved home is asked again for one run. */
+  /** Maximum grant requests per run when the home is unreachable or moved. */
   readonly maxGrantAsks: number;
   readonly prefillTimeoutMs: number;
   readonly importTimeoutMs: number;
-  /** A running grant is renewed this often, or it lapses at its home. */
+  /** Interval at which a running grant is renewed; otherwise it expires. */
   readonly renewIntervalMs: number;
-  /** Longest silence of a decode stream. */
+  /** Longest time between two frames of a decode stream. */
   readonly tokenProgressMs: number;
-  /** Less time left than this: a prefill would be thrown away. */
+  /** A run is not started with less time than this before the deadline. */
   readonly minServeMs: number;
-  /** How long a stream that has begun may go on after its deadline. */
+  /** How long a started stream may continue after the deadline. */
   readonly streamOverrunMs: number;
-  /** How long a kept draft may run on without its caller. */
+  /** How long a kept answer may continue without its caller. */
   readonly keepRunningMs: number;
-  /** When a refusal names no time to come back. */
+  /** Used if a refusal contains no retry delay. */
   readonly defaultRetryAfterMs: number;
 }
 
@@ -29,9 +29,9 @@
 export interface ModelFacts {
   readonly requestId: string;
   readonly deadlineAtMs: number;
-  /** The caller gave a key, so a repeat may adopt or replay the answer. */
+  /** The request has a key, so a repeat may adopt or replay the answer. */
   readonly isKeyed: boolean;
-  /** The answer is finished and kept when the caller hangs up. */
+  /** The answer is completed and stored if the caller disconnects. */
   readonly isKept: boolean;
   readonly policy: ModelPolicy;
 }
@@ -50,7 +50,7 @@
   | 'backing-off'
   | 'ended';
 
-/** A failed run, until it is clear whom to blame. */
+/** A failed run whose cause is not yet determined. */
 export interface RunFailure {
   readonly engineId: string;
   readonly address: string;
@@ -60,22 +60,22 @@
 
 export interface ModelState {
   readonly step: ModelStep;
-  /** Counts grant requests from 1; each has its own attempt id. */
+  /** Number of the current grant request, from 1; each has an attempt id. */
   readonly attempt: number;
   /** Runs that reached an engine. */
   readonly runs: number;
-  /** Engines where runs of this request failed. */
+  /** Engines on which runs of this request failed. */
   readonly failedEngineIds: readonly string[];
-  /** Refused or lost grant requests since the last run. */
-  readonly grantAsks: number;
+  /** Refused or unanswered grant requests since the last run. */
+  readonly failedGrantRequests: number;
   readonly grant?: Grant;
-  /** Tokens that the caller has, from offset 0. */
+  /** Number of tokens delivered to the caller. */
   readonly deliveredTokens: number;
-  /** `deliveredTokens` when this run began. */
+  /** `deliveredTokens` at the start of the current run. */
   readonly runStartTokens: number;
-  /** An earlier run may have computed something. */
+  /** An earlier run may have been executed by an engine. */
   readonly mayHaveRun: boolean;
-  /** The caller hung up and the draft is kept. */
+  /** The caller disconnected and the answer is kept. */
   readonly isAbandoned: boolean;
   readonly failure?: RunFailure;
 }
@@ -111,7 +111,7 @@
       readonly kind: 'start-due';
       readonly attempt: number;
       readonly nowMs: number;
-      /** The process was paused meanwhile, so the grant may have lapsed. */
+      /** The process was paused meanwhile, so the grant may have expired. */
       readonly isStale: boolean;
     }
   | {
@@ -195,7 +195,7 @@
     }
   | {readonly kind: 'stop-stream'}
   | {
-      /** Frees what an engine holds for a run. */
+      /** Frees the resources of a run at an engine. */
       readonly kind: 'release';
       readonly attempt: number;
       readonly address: string;
--- a/src/core/request/plain_machine.ts
+++ b/src/core/request/plain_machine.ts
@@ -1,7 +1,7 @@
 /**
- * The life of one repeatable call to a plain service as a pure state machine.
- * A failed call may be tried on another upstream, and a slow one hedged, both
- * within the service's retry budget and the deadline.
+ * The lifecycle of one repeatable call to a plain service as a pure state
+ * machine. A failed call may be retried on another upstream and a slow one may
+ * be hedged, within the service's retry budget and the deadline.
  */
 
 import type {RequestError} from '../error_kinds.js';
@@ -15,9 +15,9 @@
 
 export interface PlainState {
   readonly step: 'new' | 'calling' | 'probing' | 'asking-retry' | 'ended';
-  /** Calls begun so far. */
+  /** Calls started so far. */
   readonly attempts: number;
-  /** Calls on their way; two while a hedge runs. */
+  /** Calls in flight; two while a hedged call runs. */
   readonly open: readonly OpenCall[];
   readonly triedIds: readonly string[];
   readonly mayHaveRun: boolean;
@@ -36,10 +36,10 @@
 export type PlainEffect =
   | PlainCallEffect
   | {readonly kind: 'set-hedge-timer'; readonly delayMs: number}
-  /** Tries a fresh connection; a dead upstream counts against the request. */
+  /** Probes a new connection; a failed upstream is attributed to the request. */
   | {readonly kind: 'probe'; readonly call: OpenCall};
 
-type Step = Transition<PlainState, PlainEffect>;
+type PlainTransition = Transition<PlainState, PlainEffect>;
 
 export const initialPlainState: PlainState = {
   step: 'new',
@@ -50,13 +50,16 @@
   isHedging: false,
 };
 
-function stay(state: PlainState, ...effects: PlainEffect[]): Step {
+function transitionTo(
+  state: PlainState,
+  ...effects: PlainEffect[]
+): PlainTransition {
   return {state, effects};
 }
 
-function pick(state: PlainState): Step {
+function pickUpstream(state: PlainState): PlainTransition {
   const attempts = state.attempts + 1;
-  return stay(
+  return transitionTo(
     {...state, step: 'calling', attempts},
     {kind: 'pick', attempt: attempts, excludeIds: state.triedIds},
   );
@@ -69,8 +72,8 @@
   }));
 }
 
-function giveUp(state: PlainState, error: RequestError): Step {
-  return stay({...state, step: 'ended', open: []}, ...abortAll(state), {
+function giveUp(state: PlainState, error: RequestError): PlainTransition {
+  return transitionTo({...state, step: 'ended', open: []}, ...abortAll(state), {
     kind: 'fail',
     error,
   });
@@ -80,12 +83,12 @@
   return state.mayHaveRun || state.open.length > 0;
 }
 
-function noUpstream(facts: PlainFacts, state: PlainState): RequestError {
+function noUpstreamError(facts: PlainFacts, state: PlainState): RequestError {
   const retryAfterMs = facts.policy.defaultRetryAfterMs;
   return hasRun(state)
     ? {
         kind: 'upstream-failed',
-        detail: 'Each upstream that was tried failed.',
+        detail: 'The call failed on every upstream that was tried.',
         retryAfterMs,
       }
     : {
@@ -95,10 +98,10 @@
       };
 }
 
-function waitOver(facts: PlainFacts, state: PlainState): RequestError {
+function deadlineError(facts: PlainFacts, state: PlainState): RequestError {
   return {
     kind: hasRun(state) ? 'deadline-passed' : 'deadline-not-run',
-    detail: 'The wait ended before an answer came.',
+    detail: 'The deadline passed before an answer arrived.',
     retryAfterMs: facts.policy.defaultRetryAfterMs,
   };
 }
@@ -106,18 +109,18 @@
 const handlers: Handlers<PlainFacts, PlainState, PlainEvent, PlainEffect> = {
   started(facts, state, event) {
     return event.nowMs + facts.policy.minServeMs > facts.deadlineAtMs
-      ? giveUp(state, waitOver(facts, state))
-      : pick(state);
+      ? giveUp(state, deadlineError(facts, state))
+      : pickUpstream(state);
   },
   picked(facts, state, event) {
     if (state.step !== 'calling' || event.attempt !== state.attempts) {
-      return stay(state);
+      return transitionTo(state);
     }
     if (!event.upstream) {
-      // A hedge that finds no second upstream leaves the first call alone.
+      // Without a second upstream for the hedge, the first call continues.
       return state.open.length > 0
-        ? stay(state)
-        : giveUp(state, noUpstream(facts, state));
+        ? transitionTo(state)
+        : giveUp(state, noUpstreamError(facts, state));
     }
     const call: OpenCall = {...event.upstream, attempt: event.attempt};
     const next: PlainState = {
@@ -129,13 +132,13 @@
       facts.policy.hedgeAfterMs > 0 && !state.isHedging
         ? [{kind: 'set-hedge-timer', delayMs: facts.policy.hedgeAfterMs}]
         : [];
-    return stay(next, {kind: 'call', call}, ...hedge);
+    return transitionTo(next, {kind: 'call', call}, ...hedge);
   },
   answered(_facts, state, event) {
     const isOpen = state.open.some(call => call.attempt === event.attempt);
-    if (!isOpen) return stay(state, {kind: 'drop', what: 'late'});
+    if (!isOpen) return transitionTo(state, {kind: 'drop', what: 'late'});
     const others = state.open.filter(call => call.attempt !== event.attempt);
-    return stay(
+    return transitionTo(
       {...state, step: 'ended', open: []},
       ...abortAll({...state, open: others}),
       {kind: 'answer', answer: event.answer},
@@ -143,27 +146,27 @@
   },
   'call-failed'(_facts, state, event) {
     const call = state.open.find(open => open.attempt === event.attempt);
-    if (!call) return stay(state, {kind: 'drop', what: 'late'});
+    if (!call) return transitionTo(state, {kind: 'drop', what: 'late'});
     const open = state.open.filter(other => other !== call);
     const next: PlainState = {
       ...state,
       open,
       mayHaveRun: state.mayHaveRun || event.failure.mayHaveRun,
     };
-    // The other call of a hedged pair still runs and may answer.
-    if (open.length > 0) return stay(next);
+    // The other call of a hedged pair is still running.
+    if (open.length > 0) return transitionTo(next);
     if (!event.failure.mayHaveRun) {
-      return stay({...next, step: 'asking-retry'}, {kind: 'ask-retry'});
+      return transitionTo({...next, step: 'asking-retry'}, {kind: 'ask-retry'});
     }
-    return stay({...next, step: 'probing'}, {kind: 'probe', call});
+    return transitionTo({...next, step: 'probing'}, {kind: 'probe', call});
   },
   probed(_facts, state, event) {
-    if (state.step !== 'probing') return stay(state);
-    // Only the connection was dead: the upstream itself may be tried again.
+    if (state.step !== 'probing') return transitionTo(state);
+    // Only the connection had failed, so the upstream may be tried again.
     const triedIds = event.isAlive
       ? state.triedIds.filter(id => id !== event.upstreamId)
       : state.triedIds;
-    return stay(
+    return transitionTo(
       {...state, step: 'asking-retry', triedIds},
       {kind: 'ask-retry'},
     );
@@ -171,37 +174,39 @@
   'retry-allowed'(facts, state, event) {
     const isLate = event.nowMs + facts.policy.minServeMs > facts.deadlineAtMs;
     if (state.isHedging && state.step === 'calling') {
-      return isLate || state.open.length === 0 ? stay(state) : pick(state);
+      return isLate || state.open.length === 0
+        ? transitionTo(state)
+        : pickUpstream(state);
     }
-    if (state.step !== 'asking-retry') return stay(state);
-    if (isLate) return giveUp(state, waitOver(facts, state));
+    if (state.step !== 'asking-retry') return transitionTo(state);
+    if (isLate) return giveUp(state, deadlineError(facts, state));
     return state.attempts < facts.policy.maxAttempts
-      ? pick(state)
-      : giveUp(state, noUpstream(facts, state));
+      ? pickUpstream(state)
+      : giveUp(state, noUpstreamError(facts, state));
   },
   'retry-denied'(facts, state) {
     return state.step === 'asking-retry'
-      ? giveUp(state, noUpstream(facts, state))
-      : stay(state);
+      ? giveUp(state, noUpstreamError(facts, state))
+      : transitionTo(state);
   },
   'hedge-due'(facts, state) {
     const isAlone = state.step === 'calling' && state.open.length === 1;
     if (!isAlone || state.attempts >= facts.policy.maxAttempts) {
-      return stay(state);
+      return transitionTo(state);
     }
-    return stay({...state, isHedging: true}, {kind: 'ask-retry'});
+    return transitionTo({...state, isHedging: true}, {kind: 'ask-retry'});
   },
   'caller-gone'(_facts, state) {
-    if (state.step === 'ended') return stay(state);
+    if (state.step === 'ended') return transitionTo(state);
     return giveUp(state, {
       kind: hasRun(state) ? 'deadline-passed' : 'deadline-not-run',
-      detail: 'The caller hung up.',
+      detail: 'The caller closed the connection.',
     });
   },
   deadline(facts, state) {
     return state.step === 'ended'
-      ? stay(state)
-      : giveUp(state, waitOver(facts, state));
+      ? transitionTo(state)
+      : giveUp(state, deadlineError(facts, state));
   },
 };
 
@@ -209,6 +214,6 @@
   facts: PlainFacts,
   state: PlainState,
   event: PlainEvent,
-): Step {
+): PlainTransition {
   return applyHandler(handlers, facts, state, event);
 }
--- a/src/core/request/plain_types.ts
+++ b/src/core/request/plain_types.ts
@@ -5,17 +5,17 @@
 import type {RequestError} from '../error_kinds.js';
 
 export interface PlainPolicy {
-  /** Calls of one request, the first one included. */
+  /** Maximum calls of one request, including the first. */
   readonly maxAttempts: number;
-  /** Longest time for one call. */
+  /** Timeout of one call. */
   readonly callTimeoutMs: number;
-  /** A second call of repeatable work starts after this; 0: never. */
+  /** Delay before a repeatable call is hedged; 0 disables hedging. */
   readonly hedgeAfterMs: number;
-  /** Less time left than this: the call is not begun. */
+  /** A call is not started with less time than this before the deadline. */
   readonly minServeMs: number;
-  /** How long the answer of a call is awaited for the journal alone. */
+  /** How long a call is awaited for the journal after the caller is answered. */
   readonly lingerMs: number;
-  /** Times a moved journal partition is asked again. */
+  /** Maximum intent requests when the journal partition has moved. */
   readonly maxIntentAsks: number;
   readonly defaultRetryAfterMs: number;
 }
@@ -28,12 +28,12 @@
   readonly policy: PlainPolicy;
 }
 
-/** One call on its way to one upstream. */
+/** A call in flight to an upstream. */
 export interface OpenCall extends PickedUpstream {
   readonly attempt: number;
 }
 
-/** Events that both kinds of plain request know. */
+/** Events common to both kinds of plain request. */
 export type PlainCallEvent =
   | {readonly kind: 'started'; readonly nowMs: number}
   | {
@@ -56,7 +56,7 @@
   | {readonly kind: 'caller-gone'}
   | {readonly kind: 'deadline'};
 
-/** Effects that both kinds of plain request know. */
+/** Effects common to both kinds of plain request. */
 export type PlainCallEffect =
   | {
       readonly kind: 'pick';
--- a/src/core/request/single_run_machine.ts
+++ b/src/core/request/single_run_machine.ts
@@ -1,9 +1,9 @@
 /**
- * The life of one call that may not be repeated, as a pure state machine.
+ * The lifecycle of one non-repeatable call as a pure state machine.
  *
  * With a key, a call starts only after the journal answered `proceed`, and at
- * most once for each request. Without a key no repeat can be recognised, so
- * the promise is narrower: this request is sent at most once.
+ * most once for the key. Without a key repeats cannot be detected, so the
+ * guarantee is only that this request is sent at most once.
  */
 
 import type {IntentOutcome, JournalEnd} from '../../ports/journal.js';
@@ -21,22 +21,22 @@
   readonly step:
     | 'new'
     | 'awaiting-intent'
-    /** Another attempt runs, or the partition moved: ask again later. */
+    /** Another attempt runs or the partition moved; asks again later. */
     | 'waiting'
     | 'calling'
     | 'asking-retry'
-    /** The caller has its answer; the call's end is awaited to record it. */
+    /** The caller was answered; the outcome is awaited for the journal. */
     | 'lingering'
     | 'recording'
     | 'ended';
-  /** Journal questions so far. */
-  readonly asks: number;
-  /** Questions that met a moved partition. */
-  readonly movedAsks: number;
+  /** Intent requests sent to the journal so far. */
+  readonly intentRequests: number;
+  /** Intent requests refused because the partition had moved. */
+  readonly movedPartitionRefusals: number;
   readonly attempts: number;
   readonly call?: OpenCall;
   readonly triedIds: readonly string[];
-  readonly isBehindAnother: boolean;
+  readonly isOtherAttemptRunning: boolean;
 }
 
 export type SingleRunEvent =
@@ -47,7 +47,7 @@
       readonly outcome: IntentOutcome;
       readonly nowMs: number;
     }
-  /** The intent is durable, but runs of this call crash upstreams. */
+  /** The intent is durable, but earlier runs of this call crashed upstreams. */
   | {readonly kind: 'quarantined'; readonly ask: number}
   | {readonly kind: 'ask-again'}
   | {readonly kind: 'linger-over'}
@@ -63,75 +63,78 @@
       readonly timer: 'ask' | 'linger';
       readonly delayMs: number;
     }
-  /** Tries a fresh connection; a dead upstream counts against the request. */
+  /** Probes a new connection; a failed upstream is attributed to the request. */
   | {readonly kind: 'suspect'; readonly call: OpenCall};
 
-/** What the journal is told at the end of a call. */
+/** The outcome of a call as recorded in the journal. */
 export type SingleRunEnd =
   | Exclude<JournalEnd, {kind: 'answered'}>
   | {readonly kind: 'answered'; readonly answer: PlainAnswer};
 
 export type StoredOutcome = Extract<IntentOutcome, {kind: 'answered'}>;
 
-type Step = Transition<SingleRunState, SingleRunEffect>;
+type SingleRunTransition = Transition<SingleRunState, SingleRunEffect>;
 type IntentHandler<Kind extends IntentOutcome['kind']> = (
   facts: PlainFacts,
   state: SingleRunState,
   outcome: Extract<IntentOutcome, {kind: Kind}>,
   nowMs: number,
-) => Step;
+) => SingleRunTransition;
 
 export const initialSingleRunState: SingleRunState = {
   step: 'new',
-  asks: 0,
-  movedAsks: 0,
+  intentRequests: 0,
+  movedPartitionRefusals: 0,
   attempts: 0,
   triedIds: [],
-  isBehindAnother: false,
+  isOtherAttemptRunning: false,
 };
 
-function stay(state: SingleRunState, ...effects: SingleRunEffect[]): Step {
+function transitionTo(
+  state: SingleRunState,
+  ...effects: SingleRunEffect[]
+): SingleRunTransition {
   return {state, effects};
 }
 
-function ask(state: SingleRunState): Step {
-  const asks = state.asks + 1;
-  return stay(
-    {...state, step: 'awaiting-intent', asks},
-    {kind: 'begin-intent', ask: asks},
+function requestIntent(state: SingleRunState): SingleRunTransition {
+  const intentRequests = state.intentRequests + 1;
+  return transitionTo(
+    {...state, step: 'awaiting-intent', intentRequests},
+    {kind: 'begin-intent', ask: intentRequests},
   );
 }
 
-function pick(state: SingleRunState): Step {
+function pickUpstream(state: SingleRunState): SingleRunTransition {
   const attempts = state.attempts + 1;
-  return stay(
+  return transitionTo(
     {...state, step: 'calling', attempts, call: undefined},
     {kind: 'pick', attempt: attempts, excludeIds: state.triedIds},
   );
 }
 
-/** Records the end; the request stays active until that is durable. */
-function record(
+/** Records the outcome; the request stays active until it is durable. */
+function recordEnd(
   facts: PlainFacts,
   state: SingleRunState,
   end: SingleRunEnd,
   ...before: SingleRunEffect[]
-): Step {
-  if (!facts.isKeyed) return stay({...state, step: 'ended'}, ...before);
-  return stay({...state, step: 'recording'}, ...before, {
+): SingleRunTransition {
+  if (!facts.isKeyed) return transitionTo({...state, step: 'ended'}, ...before);
+  return transitionTo({...state, step: 'recording'}, ...before, {
     kind: 'end-intent',
     end,
   });
 }
 
-/** Refused before any dispatch: the key is set free again. */
-function notRun(
+/** Fails the request before any dispatch and releases its key. */
+function failNotRun(
   facts: PlainFacts,
   state: SingleRunState,
   error: RequestError,
-): Step {
+): SingleRunTransition {
   const retryAfterMs = error.retryAfterMs ?? facts.policy.defaultRetryAfterMs;
-  return record(
+  return recordEnd(
     facts,
     state,
     {kind: 'released'},
@@ -140,14 +143,14 @@
 }
 
 /**
- * A repeat that is refused before its key could be looked up knows nothing of
- * earlier calls under the key. Sent again with a new key, it could run twice.
+ * Added to errors of requests whose key could not be looked up. An earlier call
+ * with the key may exist, so a retry with a new key could run the call twice.
  */
-const SAME_KEY = 'Ask again with the same key.';
+const SAME_KEY_HINT = 'Retry with the same key.';
 
 const deadlineNotRun: RequestError = {
   kind: 'deadline-not-run',
-  detail: `The wait ended before the call was sent. ${SAME_KEY}`,
+  detail: `The deadline passed before the call was sent. ${SAME_KEY_HINT}`,
 };
 
 const unknownOutcome: RequestError = {
@@ -160,32 +163,35 @@
 } = {
   proceed(facts, state, _outcome, nowMs) {
     return nowMs + facts.policy.minServeMs > facts.deadlineAtMs
-      ? notRun(facts, state, deadlineNotRun)
-      : pick(state);
+      ? failNotRun(facts, state, deadlineNotRun)
+      : pickUpstream(state);
   },
   answered(_facts, state, outcome) {
-    return stay({...state, step: 'ended'}, {kind: 'stored-answer', outcome});
+    return transitionTo(
+      {...state, step: 'ended'},
+      {kind: 'stored-answer', outcome},
+    );
   },
   running(_facts, state, outcome) {
-    return stay(
-      {...state, step: 'waiting', isBehindAnother: true},
+    return transitionTo(
+      {...state, step: 'waiting', isOtherAttemptRunning: true},
       {kind: 'set-timer', timer: 'ask', delayMs: outcome.retryAfterMs},
     );
   },
   'outcome-unknown'(_facts, state) {
-    return stay(
+    return transitionTo(
       {...state, step: 'ended'},
       {
         kind: 'fail',
         error: {
           kind: 'outcome-unknown',
-          detail: 'An earlier call with this key was sent and never answered.',
+          detail: 'An earlier call with this key was sent but not answered.',
         },
       },
     );
   },
   conflict(_facts, state) {
-    return stay(
+    return transitionTo(
       {...state, step: 'ended'},
       {
         kind: 'fail',
@@ -197,39 +203,42 @@
     );
   },
   refused(facts, state, outcome) {
-    const movedAsks = state.movedAsks + 1;
+    const movedPartitionRefusals = state.movedPartitionRefusals + 1;
     const isMoved = outcome.reason === 'not-owner';
-    if (isMoved && movedAsks < facts.policy.maxIntentAsks) {
-      return stay(
-        {...state, step: 'waiting', movedAsks},
+    if (isMoved && movedPartitionRefusals < facts.policy.maxIntentAsks) {
+      return transitionTo(
+        {...state, step: 'waiting', movedPartitionRefusals},
         {kind: 'set-timer', timer: 'ask', delayMs: outcome.retryAfterMs},
       );
     }
-    if (state.isBehindAnother) return stillRunning(facts, state);
-    return notRun(facts, state, {
+    if (state.isOtherAttemptRunning) return failStillRunning(facts, state);
+    return failNotRun(facts, state, {
       kind:
         outcome.reason === 'overloaded' ? 'overloaded' : 'platform-unavailable',
-      detail: `The call could not be recorded, so it was not sent. ${SAME_KEY}`,
+      detail: `The call could not be recorded, so it was not sent. ${SAME_KEY_HINT}`,
       retryAfterMs: outcome.retryAfterMs,
     });
   },
 };
 
-function onIntent(
+function handleIntent(
   facts: PlainFacts,
   state: SingleRunState,
   outcome: IntentOutcome,
   nowMs: number,
-): Step {
+): SingleRunTransition {
   const handler = intentHandlers[outcome.kind] as IntentHandler<
     IntentOutcome['kind']
   >;
   return handler(facts, state, outcome, nowMs);
 }
 
-/** An earlier call with the key has not ended, so none may be called not run. */
-function stillRunning(facts: PlainFacts, state: SingleRunState): Step {
-  return stay(
+/** Fails the request; an earlier call with the key is still running. */
+function failStillRunning(
+  facts: PlainFacts,
+  state: SingleRunState,
+): SingleRunTransition {
+  return transitionTo(
     {...state, step: 'ended'},
     {
       kind: 'fail',
@@ -242,9 +251,12 @@
   );
 }
 
-/** Leaves the call running, for the journal's sake, with the caller answered. */
-function linger(facts: PlainFacts, state: SingleRunState): Step {
-  return stay(
+/** Fails the request but awaits the call's outcome for the journal. */
+function failAndAwaitOutcome(
+  facts: PlainFacts,
+  state: SingleRunState,
+): SingleRunTransition {
+  return transitionTo(
     {...state, step: 'lingering'},
     {kind: 'fail', error: unknownOutcome},
     {kind: 'set-timer', timer: 'linger', delayMs: facts.policy.lingerMs},
@@ -255,28 +267,28 @@
   facts: PlainFacts,
   state: SingleRunState,
   error: RequestError,
-): Step {
+): SingleRunTransition {
   switch (state.step) {
     case 'new':
     case 'asking-retry':
-      return notRun(facts, state, error);
+      return failNotRun(facts, state, error);
     case 'awaiting-intent':
     case 'waiting':
-      return state.isBehindAnother
-        ? stillRunning(facts, state)
-        : notRun(facts, state, error);
+      return state.isOtherAttemptRunning
+        ? failStillRunning(facts, state)
+        : failNotRun(facts, state, error);
     case 'calling':
-      return linger(facts, state);
+      return failAndAwaitOutcome(facts, state);
     case 'lingering':
     case 'recording':
     case 'ended':
-      return stay(state);
+      return transitionTo(state);
   }
 }
 
 function hasOpenCall(state: SingleRunState, attempt: number): boolean {
-  const isWaited = state.step === 'calling' || state.step === 'lingering';
-  return isWaited && state.call?.attempt === attempt;
+  const isAwaited = state.step === 'calling' || state.step === 'lingering';
+  return isAwaited && state.call?.attempt === attempt;
 }
 
 const handlers: Handlers<
@@ -287,95 +299,103 @@
 > = {
   started(facts, state, event) {
     if (event.nowMs + facts.policy.minServeMs > facts.deadlineAtMs) {
-      return stay(
+      return transitionTo(
         {...state, step: 'ended'},
         {kind: 'fail', error: deadlineNotRun},
       );
     }
-    return facts.isKeyed ? ask(state) : pick(state);
+    return facts.isKeyed ? requestIntent(state) : pickUpstream(state);
   },
   intent(facts, state, event) {
-    if (state.step === 'awaiting-intent' && event.ask === state.asks) {
-      return onIntent(facts, state, event.outcome, event.nowMs);
+    if (
+      state.step === 'awaiting-intent' &&
+      event.ask === state.intentRequests
+    ) {
+      return handleIntent(facts, state, event.outcome, event.nowMs);
     }
-    // The request was given up while its intent was on the way to the table.
-    // Left there, the intent would block the key of a call that never ran.
+    // The request was cancelled while its intent was being written. If it were
+    // not released, the intent would block the key of a call that never ran.
     return event.outcome.kind === 'proceed' && state.attempts === 0
-      ? stay(
+      ? transitionTo(
           state,
           {kind: 'drop', what: 'late'},
           {kind: 'end-intent', end: {kind: 'released'}},
         )
-      : stay(state, {kind: 'drop', what: 'late'});
+      : transitionTo(state, {kind: 'drop', what: 'late'});
   },
   quarantined(facts, state, event) {
-    if (state.step !== 'awaiting-intent' || event.ask !== state.asks) {
-      return stay(state, {kind: 'end-intent', end: {kind: 'released'}});
+    if (
+      state.step !== 'awaiting-intent' ||
+      event.ask !== state.intentRequests
+    ) {
+      return transitionTo(state, {kind: 'end-intent', end: {kind: 'released'}});
     }
-    return notRun(facts, state, {
+    return failNotRun(facts, state, {
       kind: 'quarantined',
       detail: 'Earlier runs of this call crashed upstreams.',
     });
   },
   'ask-again'(_facts, state) {
-    return state.step === 'waiting' ? ask(state) : stay(state);
+    return state.step === 'waiting'
+      ? requestIntent(state)
+      : transitionTo(state);
   },
   picked(facts, state, event) {
     if (state.step !== 'calling' || event.attempt !== state.attempts) {
-      return stay(state);
+      return transitionTo(state);
     }
     if (!event.upstream) {
-      return notRun(facts, state, {
+      return failNotRun(facts, state, {
         kind: 'no-upstream',
         detail: 'No upstream could be reached.',
       });
     }
     const call: OpenCall = {...event.upstream, attempt: event.attempt};
-    return stay(
+    return transitionTo(
       {...state, call, triedIds: [...state.triedIds, call.upstreamId]},
       {kind: 'call', call},
     );
   },
   answered(facts, state, event) {
     if (!hasOpenCall(state, event.attempt)) {
-      return stay(state, {kind: 'drop', what: 'late'});
+      return transitionTo(state, {kind: 'drop', what: 'late'});
     }
     const {answer} = event;
     const toCaller: readonly SingleRunEffect[] =
       state.step === 'calling' ? [{kind: 'answer', answer}] : [];
-    return record(facts, state, {kind: 'answered', answer}, ...toCaller);
+    return recordEnd(facts, state, {kind: 'answered', answer}, ...toCaller);
   },
   'call-failed'(facts, state, event) {
     if (!hasOpenCall(state, event.attempt)) {
-      return stay(state, {kind: 'drop', what: 'late'});
+      return transitionTo(state, {kind: 'drop', what: 'late'});
     }
     if (!event.failure.mayHaveRun) {
       return state.step === 'lingering'
-        ? record(facts, state, {kind: 'released'})
-        : stay({...state, step: 'asking-retry'}, {kind: 'ask-retry'});
+        ? recordEnd(facts, state, {kind: 'released'})
+        : transitionTo({...state, step: 'asking-retry'}, {kind: 'ask-retry'});
     }
     const toCaller: readonly SingleRunEffect[] =
       state.step === 'calling' ? [{kind: 'fail', error: unknownOutcome}] : [];
-    return record(facts, state, {kind: 'outcome-unknown'}, ...toCaller, {
+    return recordEnd(facts, state, {kind: 'outcome-unknown'}, ...toCaller, {
       kind: 'suspect',
       call: state.call!,
     });
   },
   'retry-allowed'(facts, state, event) {
-    if (state.step !== 'asking-retry') return stay(state);
+    if (state.step !== 'asking-retry') return transitionTo(state);
     if (event.nowMs + facts.policy.minServeMs > facts.deadlineAtMs) {
-      return notRun(facts, state, deadlineNotRun);
+      return failNotRun(facts, state, deadlineNotRun);
     }
     return state.attempts < facts.policy.maxAttempts
-      ? pick(state)
-      : notRun(facts, state, {
+      ? pickUpstream(state)
+      : failNotRun(facts, state, {
           kind: 'no-upstream',
           detail: 'No upstream could be reached.',
         });
   },
   'retry-denied'(facts, state) {
-    if (state.step !== 'asking-retry') return stay(state);
-    return notRun(facts, state, {
+    if (state.step !== 'asking-retry') return transitionTo(state);
+    return failNotRun(facts, state, {
       kind: 'no-upstream',
       detail: 'No upstream could be reached, and no retry is allowed now.',
     });
@@ -383,15 +403,15 @@
   'caller-gone'(facts, state) {
     return stopWaiting(facts, state, {
       kind: 'deadline-not-run',
-      detail: 'The caller hung up before the call was sent.',
+      detail: 'The caller closed the connection before the call was sent.',
     });
   },
   deadline(facts, state) {
     return stopWaiting(facts, state, deadlineNotRun);
   },
   'linger-over'(facts, state) {
-    if (state.step !== 'lingering') return stay(state);
-    return record(
+    if (state.step !== 'lingering') return transitionTo(state);
+    return recordEnd(
       facts,
       state,
       {kind: 'outcome-unknown'},
@@ -400,8 +420,8 @@
   },
   recorded(_facts, state) {
     return state.step === 'recording'
-      ? stay({...state, step: 'ended'})
-      : stay(state);
+      ? transitionTo({...state, step: 'ended'})
+      : transitionTo(state);
   },
 };
 
@@ -409,6 +429,6 @@
   facts: PlainFacts,
   state: SingleRunState,
   event: SingleRunEvent,
-): Step {
+): SingleRunTransition {
   return applyHandler(handlers, facts, state, event);
 }
--- a/src/core/request/transition.ts
+++ b/src/core/request/transition.ts
@@ -1,12 +1,12 @@
-/** Shared shapes of the request state machines. */
+/** Types shared by the request state machines. */
 
-/** What a machine returns: its next state and what its task must do. */
+/** The next state and the effects that the task must perform. */
 export interface Transition<State, Effect> {
   readonly state: State;
   readonly effects: readonly Effect[];
 }
 
-/** One handler for each kind of event. */
+/** A handler for each kind of event. */
 export type Handlers<Facts, State, Event extends {kind: string}, Effect> = {
   readonly [Kind in Event['kind']]: (
     facts: Facts,
@@ -15,7 +15,7 @@
   ) => Transition<State, Effect>;
 };
 
-/** Looks the handler up by the event's kind and applies it. */
+/** Calls the handler for the event's kind. */
 export function applyHandler<
   Facts,
   State,
