--- a/src/core/scheduling/account_shares.ts
+++ b/src/core/scheduling/account_shares.ts
@@ -1,18 +1,18 @@
 /**
- * Weighted fairness between client accounts: recent use of engines by each,
- * fading with time, against the share its weight gives it.
+ * Weighted fairness between client accounts, based on the recent engine use of
+ * each account with exponential decay.
  */
 
 export interface AccountLimits {
   readonly weight: number;
-  /** Most grants and queue places held at once at one home. */
+  /** Maximum concurrent grants and queue entries at one home. */
   readonly maxConcurrent: number;
 }
 
 export interface AccountShares {
-  /** Adds engine time used or promised. */
+  /** Adds engine time that was used or granted. */
   charge(account: string, costMs: number, nowMs: number): void;
-  /** Use for each unit of weight, in milliseconds. */
+  /** Returns the use per unit of weight, in milliseconds. */
   normalizedUse(account: string, nowMs: number): number;
   limits(account: string): AccountLimits;
   setLimits(limits: ReadonlyMap<string, AccountLimits>): void;
@@ -24,12 +24,12 @@
 };
 const MAX_ACCOUNTS = 4_096;
 
-/** @param halfLifeMs Use counts half after this time. */
+/** @param halfLifeMs Half-life of recorded use. */
 export function createAccountShares(halfLifeMs: number): AccountShares {
   let limitsByAccount: ReadonlyMap<string, AccountLimits> = new Map();
   const uses = new Map<string, {costMs: number; atMs: number}>();
 
-  function fade(use: {costMs: number; atMs: number}, nowMs: number): void {
+  function decay(use: {costMs: number; atMs: number}, nowMs: number): void {
     use.costMs *= 0.5 ** ((nowMs - use.atMs) / halfLifeMs);
     use.atMs = nowMs;
   }
@@ -49,13 +49,13 @@
         use = {costMs: 0, atMs: nowMs};
         uses.set(account, use);
       }
-      fade(use, nowMs);
+      decay(use, nowMs);
       use.costMs += costMs;
     },
     normalizedUse(account, nowMs) {
       const use = uses.get(account);
       if (!use) return 0;
-      fade(use, nowMs);
+      decay(use, nowMs);
       return use.costMs / Math.max(limits(account).weight, 1e-6);
     },
     limits,
--- a/src/core/scheduling/admission.ts
+++ b/src/core/scheduling/admission.ts
@@ -1,11 +1,11 @@
-/** How long a request would wait for its start, and when to come back. */
+/** Forecasts the wait of a request and the retry delay after a refusal. */
 
 import type {EnginePool} from './engine_pool.js';
 import type {WorkAhead} from './wait_queue.js';
 
-/** What the engines of a shard have free and in use, summed. */
+/** Total free and used capacity of the engines of a shard. */
 export interface PoolCapacity {
-  /** Prefill engines that may be used, in engines. */
+  /** Sum of the usable shares of the prefill engines. */
   readonly prefillShare: number;
   readonly prefillBacklogMs: number;
   readonly usedSlots: number;
@@ -28,10 +28,10 @@
   let freeKvBytes = 0;
   for (const engine of pool.decode) {
     if (engine.isLeaving || engine.share <= 0) continue;
-    const hiddenSlots = engine.description.slots - engine.slotLimit;
+    const unavailableSlots = engine.description.slots - engine.slotLimit;
     usedSlots += engine.book.usedSlots();
     usedKvBytes += engine.book.usedKvBytes();
-    freeSlots += engine.book.freeSlots() - hiddenSlots;
+    freeSlots += engine.book.freeSlots() - unavailableSlots;
     freeKvBytes += Math.max(0, engine.book.freeKvBytes());
   }
   return {
@@ -68,13 +68,14 @@
 
 const MIN_RETRY_MS = 250;
 const MAX_RETRY_MS = 60_000;
-/** Spread, so that refused callers do not all come back at once. */
+/** Random spread that keeps refused callers from retrying simultaneously. */
 const RETRY_SPREAD = 0.5;
 
 /**
- * When a refused request would have a start in time if it asked again.
+ * Returns the delay in milliseconds after which a refused request is expected to
+ * start in time.
  *
- * @param lateMs By how much it would have started too late.
+ * @param lateMs Time by which it would have started too late.
  */
 export function retryAfter(lateMs: number, randomShare: number): number {
   const baseMs = Math.max(MIN_RETRY_MS, lateMs);
--- a/src/core/scheduling/engine_book.ts
+++ b/src/core/scheduling/engine_book.ts
@@ -1,12 +1,12 @@
 /**
- * What one home has promised of one engine: decode slots or prefill places,
- * and KV cache bytes. Exact for the home's own promises; use by others is
- * taken from the engine's lagging reports.
+ * The reservations of one home at one engine: decode slots or prefill places,
+ * and KV cache bytes. The home's own reservations are exact; use by others is
+ * derived from the engine's delayed reports.
  */
 
 import type {EngineLoadReport, EngineRole} from '../../ports/engine.js';
 
-/** An engine as settings or the host list describe it. */
+/** An engine as described in the settings or the host list. */
 export interface EngineDescription {
   readonly engineId: string;
   readonly address: string;
@@ -18,7 +18,7 @@
   readonly linkBytesPerMs: number;
 }
 
-/** Reports older than this are never compared with the books. */
+/** Upper bound on the delay of reports. */
 const REPORT_LAG_BOUND_MS = 8_000;
 const PEAK_BUCKET_MS = 1_000;
 const PEAK_BUCKETS = REPORT_LAG_BOUND_MS / PEAK_BUCKET_MS;
@@ -26,21 +26,21 @@
 export interface EngineBook {
   usedSlots(): number;
   usedKvBytes(): number;
-  /** May be negative when slots were promised from a forecast. */
+  /** May be negative when slots were granted from a forecast. */
   freeSlots(): number;
   freeKvBytes(): number;
   has(grantId: string): boolean;
   reserve(grantId: string, kvBytes: number, nowMs: number): void;
   resize(grantId: string, kvBytes: number, nowMs: number): void;
   release(grantId: string): void;
-  /** Compares with a report; returns false for one older than the last. */
+  /** Applies a report; returns false if it is older than the last one. */
   reconcile(report: EngineLoadReport, nowMs: number): boolean;
   lastReportMs(): number | undefined;
   queuedTokens(): number;
 }
 
-/** Highest value in a sliding window of `REPORT_LAG_BOUND_MS`. */
-function createPeak() {
+/** Tracks the maximum in a sliding window of `REPORT_LAG_BOUND_MS`. */
+function createWindowMaximum() {
   const peaks = new Float64Array(PEAK_BUCKETS);
   let lastBucket = -1;
   return {
@@ -63,8 +63,8 @@
   totalKvBytes: number,
 ): EngineBook {
   const kvByGrant = new Map<string, number>();
-  const slotPeak = createPeak();
-  const kvPeak = createPeak();
+  const slotPeak = createWindowMaximum();
+  const kvPeak = createWindowMaximum();
   let kvUsed = 0;
   let kvTotal = totalKvBytes;
   let slotTotal = totalSlots;
@@ -74,7 +74,7 @@
   let lastReportMs: number | undefined;
   let queuedTokens = 0;
 
-  function notePeaks(nowMs: number): void {
+  function recordPeaks(nowMs: number): void {
     slotPeak.note(kvByGrant.size, nowMs);
     kvPeak.note(kvUsed, nowMs);
   }
@@ -88,14 +88,14 @@
     reserve(grantId, kvBytes, nowMs) {
       kvUsed += kvBytes - (kvByGrant.get(grantId) ?? 0);
       kvByGrant.set(grantId, kvBytes);
-      notePeaks(nowMs);
+      recordPeaks(nowMs);
     },
     resize(grantId, kvBytes, nowMs) {
       const before = kvByGrant.get(grantId);
       if (before === undefined) return;
       kvUsed += kvBytes - before;
       kvByGrant.set(grantId, kvBytes);
-      notePeaks(nowMs);
+      recordPeaks(nowMs);
     },
     release(grantId) {
       const kvBytes = kvByGrant.get(grantId);
@@ -110,11 +110,11 @@
       queuedTokens = report.queuedTokens;
       if (report.slotsTotal > 0) slotTotal = report.slotsTotal;
       if (report.kvTotalBytes > 0) kvTotal = report.kvTotalBytes;
-      notePeaks(nowMs);
-      // A report shows the engine as it was some time ago. Only use above
-      // every level that this home's own promises had within the lag belongs
-      // to others (another home, or sessions whose owner is gone); without
-      // the window a lagging report would count our own ended work twice.
+      recordPeaks(nowMs);
+      // A report shows an earlier state of the engine. Only use above the peak
+      // of this home's reservations within the delay belongs to others (another
+      // home, or sessions without an owner). Without the window, a delayed
+      // report would count work of this home that has ended as foreign use.
       foreignSlots = Math.max(0, report.slotsUsed - slotPeak.highest());
       foreignKvBytes = Math.max(0, report.kvUsedBytes - kvPeak.highest());
       return true;
--- a/src/core/scheduling/engine_health.ts
+++ b/src/core/scheduling/engine_health.ts
@@ -1,72 +1,72 @@
 /**
- * Which engines to trust: ejects those that fail or are much slower than
- * their pool without saying so, tries them again with single requests, lets
- * them and cold ones in by a ramp, and never ejects so many that a bad signal
- * could empty a pool.
+ * Outlier detection for engines. It ejects engines that fail or are much slower
+ * than their pool, probes them with single requests, and ramps up returning and
+ * cold engines. A minimum share of each pool is never ejected, so that a wrong
+ * signal cannot empty it.
  */
 
 export interface HealthOptions {
-  /** Slower than the pool's median by this factor: ejected. */
+  /** An engine slower than the pool's median by this factor is ejected. */
   readonly slowFactor: number;
-  /** Samples before slowness counts. */
+  /** Samples required before slowness is evaluated. */
   readonly minSamples: number;
   readonly failuresToEject: number;
-  /** First ejection; each in a row doubles it up to the most. */
+  /** First ejection time; doubled on each repeated ejection up to the maximum. */
   readonly ejectMs: number;
-  readonly mostEjectMs: number;
-  /** Between two single requests to an engine that is tried again. */
-  readonly tryEveryMs: number;
+  readonly maxEjectMs: number;
+  /** Interval of probe requests to an engine on probation. */
+  readonly probeIntervalMs: number;
   /** Time from first use to full share. */
   readonly rampMs: number;
-  /** At least this share of a pool stays in use. */
-  readonly floorShare: number;
+  /** Minimum share of a pool that is never ejected. */
+  readonly minUsableShare: number;
 }
 
 export const DEFAULT_HEALTH: HealthOptions = {
   slowFactor: 2,
   minSamples: 3,
-  // One is enough: the ejection is short and a single good request ends it,
-  // while an engine that died is idle and would draw each retry to itself.
+  // The ejection is short and ends with one successful request, whereas a failed
+  // engine is idle and would attract every retry.
   failuresToEject: 1,
   ejectMs: 1_500,
-  mostEjectMs: 3_000,
-  tryEveryMs: 2_000,
+  maxEjectMs: 3_000,
+  probeIntervalMs: 2_000,
   rampMs: 3_000,
-  floorShare: 0.5,
+  minUsableShare: 0.5,
 };
 
 const SMOOTHING = 0.4;
-const MEDIAN_EVERY_MS = 50;
-/** Share of its capacity that a cold engine gets at once. */
-const RAMP_START = 0.25;
+const MEDIAN_INTERVAL_MS = 50;
+/** Initial share of the capacity of a cold engine. */
+const RAMP_START_SHARE = 0.25;
 
 interface EngineRecord {
   readonly pool: string;
-  /** Start of the ramp. */
+  /** Time at which the ramp started. */
   admittedAtMs: number;
   slowness: number;
   samples: number;
   failures: number;
   ejectedUntilMs: number;
   nextEjectMs: number;
-  /** Ejected before and not proven good since. */
-  isOnTrial: boolean;
-  lastTryMs: number;
+  /** Ejected before and without a successful request since. */
+  isOnProbation: boolean;
+  lastProbeMs: number;
 }
 
 export interface EngineHealth {
   add(engineId: string, pool: string, nowMs: number, isWarm: boolean): void;
   remove(engineId: string): void;
-  /** `cost` is a time per unit of work, comparable within the pool. */
+  /** Records `cost`, a time per unit of work comparable within the pool. */
   sample(engineId: string, cost: number, nowMs: number): void;
   failure(engineId: string, nowMs: number): void;
   success(engineId: string, nowMs: number): void;
   isUsable(engineId: string, nowMs: number): boolean;
-  /** True while its samples say nothing about the pool as a whole. */
+  /** Whether its samples are not representative of the pool. */
   isOutlier(engineId: string): boolean;
-  /** Notes that the engine got a request; it matters while on trial. */
+  /** Records a request to the engine; only relevant on probation. */
   noteUse(engineId: string, nowMs: number): void;
-  /** Share of its capacity that the engine may use now, 0 to 1. */
+  /** Returns the usable share of the engine's capacity, 0 to 1. */
   share(engineId: string, nowMs: number): number;
   ejectedCount(nowMs: number): number;
 }
@@ -76,10 +76,10 @@
 
   const medians = new Map<string, {slowness: number; atMs: number}>();
 
-  /** Slowness of the middle engine; 0 when nothing is known. */
+  /** Updates the pool's median slowness; 0 without samples. */
   function refreshMedian(pool: string, nowMs: number): void {
     const last = medians.get(pool);
-    if (last && nowMs - last.atMs < MEDIAN_EVERY_MS) return;
+    if (last && nowMs - last.atMs < MEDIAN_INTERVAL_MS) return;
     const known: number[] = [];
     for (const record of records.values()) {
       if (record.pool === pool && record.samples > 0) {
@@ -100,7 +100,7 @@
     );
   }
 
-  /** True unless the pool would fall below its floor. */
+  /** Whether an ejection keeps the minimum share of the pool usable. */
   function mayEject(pool: string, nowMs: number): boolean {
     let total = 0;
     let usable = 0;
@@ -109,23 +109,23 @@
       total++;
       if (record.ejectedUntilMs <= nowMs) usable++;
     }
-    return usable - 1 >= total * options.floorShare;
+    return usable - 1 >= total * options.minUsableShare;
   }
 
   function eject(record: EngineRecord, nowMs: number): void {
     if (record.ejectedUntilMs > nowMs) return;
     if (!mayEject(record.pool, nowMs)) return;
     record.ejectedUntilMs = nowMs + record.nextEjectMs;
-    record.nextEjectMs = Math.min(options.mostEjectMs, record.nextEjectMs * 2);
+    record.nextEjectMs = Math.min(options.maxEjectMs, record.nextEjectMs * 2);
     record.failures = 0;
     record.samples = 0;
-    record.isOnTrial = true;
-    record.lastTryMs = Number.NEGATIVE_INFINITY;
+    record.isOnProbation = true;
+    record.lastProbeMs = Number.NEGATIVE_INFINITY;
   }
 
-  function admit(record: EngineRecord, nowMs: number): void {
-    if (!record.isOnTrial || record.ejectedUntilMs > nowMs) return;
-    record.isOnTrial = false;
+  function endProbation(record: EngineRecord, nowMs: number): void {
+    if (!record.isOnProbation || record.ejectedUntilMs > nowMs) return;
+    record.isOnProbation = false;
     record.admittedAtMs = nowMs;
     record.nextEjectMs = options.ejectMs;
   }
@@ -140,8 +140,8 @@
         failures: 0,
         ejectedUntilMs: 0,
         nextEjectMs: options.ejectMs,
-        isOnTrial: false,
-        lastTryMs: Number.NEGATIVE_INFINITY,
+        isOnProbation: false,
+        lastProbeMs: Number.NEGATIVE_INFINITY,
       });
     },
     remove(engineId) {
@@ -149,7 +149,7 @@
     },
     sample(engineId, cost, nowMs) {
       const record = records.get(engineId);
-      // What an ejected engine still runs was given to it before.
+      // Work still running on an ejected engine was assigned before.
       if (!record || record.ejectedUntilMs > nowMs) return;
       record.slowness =
         record.samples === 0
@@ -157,23 +157,23 @@
           : record.slowness + SMOOTHING * (cost - record.slowness);
       record.samples++;
       refreshMedian(record.pool, nowMs);
-      const needed = record.isOnTrial ? 1 : options.minSamples;
+      const needed = record.isOnProbation ? 1 : options.minSamples;
       if (record.samples < needed) return;
       if (isSlow(record)) eject(record, nowMs);
-      else admit(record, nowMs);
+      else endProbation(record, nowMs);
     },
     failure(engineId, nowMs) {
       const record = records.get(engineId);
       if (!record) return;
       record.failures++;
-      const needed = record.isOnTrial ? 1 : options.failuresToEject;
+      const needed = record.isOnProbation ? 1 : options.failuresToEject;
       if (record.failures >= needed) eject(record, nowMs);
     },
     success(engineId, nowMs) {
       const record = records.get(engineId);
       if (!record) return;
       record.failures = 0;
-      if (!isSlow(record)) admit(record, nowMs);
+      if (!isSlow(record)) endProbation(record, nowMs);
     },
     isUsable(engineId, nowMs) {
       const record = records.get(engineId);
@@ -181,22 +181,24 @@
     },
     isOutlier(engineId) {
       const record = records.get(engineId);
-      return record !== undefined && (record.isOnTrial || isSlow(record));
+      return record !== undefined && (record.isOnProbation || isSlow(record));
     },
     noteUse(engineId, nowMs) {
       const record = records.get(engineId);
-      if (record) record.lastTryMs = nowMs;
+      if (record) record.lastProbeMs = nowMs;
     },
     share(engineId, nowMs) {
       const record = records.get(engineId);
       if (!record || record.ejectedUntilMs > nowMs) return 0;
-      if (record.isOnTrial) {
-        const mayTry = nowMs - record.lastTryMs >= options.tryEveryMs;
-        return mayTry ? RAMP_START : 0;
+      if (record.isOnProbation) {
+        const mayProbe = nowMs - record.lastProbeMs >= options.probeIntervalMs;
+        return mayProbe ? RAMP_START_SHARE : 0;
       }
       const ageMs = nowMs - record.admittedAtMs;
       if (ageMs >= options.rampMs) return 1;
-      return RAMP_START + (1 - RAMP_START) * (ageMs / options.rampMs);
+      return (
+        RAMP_START_SHARE + (1 - RAMP_START_SHARE) * (ageMs / options.rampMs)
+      );
     },
     ejectedCount(nowMs) {
       let count = 0;
--- a/src/core/scheduling/engine_pool.ts
+++ b/src/core/scheduling/engine_pool.ts
@@ -1,4 +1,4 @@
-/** The engines of one shard, with all that its home knows of each. */
+/** The engines of one shard with their state as tracked by its home. */
 
 import type {EngineRole} from '../../ports/engine.js';
 import {
@@ -15,19 +15,19 @@
   readonly link: LinkSchedule;
   readonly backlog: PrefillBacklog;
   isLeaving: boolean;
-  /** Smoothed time between tokens of an answer; 0 when not known. */
+  /** Smoothed time between tokens of an answer; 0 if unknown. */
   intervalMs: number;
-  /** Slots that keep the pace target; at most the engine's own number. */
+  /** Slots at which the token pace target is met; at most all slots. */
   paceSlots: number;
-  /** Slots that may be in use now, after pace, ramp and rebuilding. */
+  /** Slots that may be used now, as limited by pace, ramp and rebuilding. */
   slotLimit: number;
-  /** Share of its speed to count on now; 0 keeps all new work away. */
+  /** Usable share of its speed; 0 if it must not receive new work. */
   share: number;
-  /** Answers that end in each millisecond, forecast. */
+  /** Forecast of answers that end per millisecond. */
   endsPerMs: number;
 }
 
-/** Whether new grants may name the engine. */
+/** Whether the engine may be used in new grants. */
 export function takesNewWork(engine: PoolEngine): boolean {
   return !engine.isLeaving && engine.share > 0;
 }
@@ -37,7 +37,7 @@
   readonly decode: readonly PoolEngine[];
   get(engineId: string): PoolEngine | undefined;
   all(): IterableIterator<PoolEngine>;
-  /** Returns ids of engines that are new and of those that went. */
+  /** Replaces the engines; returns the ids of added and removed ones. */
   set(descriptions: readonly EngineDescription[]): {
     readonly added: readonly string[];
     readonly removed: readonly string[];
@@ -45,7 +45,7 @@
   remove(engineId: string): PoolEngine | undefined;
 }
 
-function newEngine(description: EngineDescription): PoolEngine {
+function createPoolEngine(description: EngineDescription): PoolEngine {
   return {
     description,
     book: createEngineBook(description.slots, description.kvBytes),
@@ -107,7 +107,7 @@
           continue;
         }
         if (known) removed.push(description.engineId);
-        engines.set(description.engineId, newEngine(description));
+        engines.set(description.engineId, createPoolEngine(description));
         added.push(description.engineId);
       }
       reindex();
--- a/src/core/scheduling/length_forecast.ts
+++ b/src/core/scheduling/length_forecast.ts
@@ -1,28 +1,28 @@
 /**
- * How long answers get, learned from those that ended: a histogram for each
- * service and class, read as a table of quantiles.
+ * Forecasts answer lengths from a histogram of completed answers, which is read
+ * as a table of quantiles.
  */
 
 import {build, type Histogram} from 'hdr-histogram-js';
 
 const HIGHEST_TOKENS = 1_000_000;
 const QUANTILES = 40;
-const REFRESH_EVERY = 64;
-/** Older lengths fade: the histogram is renewed after this many. */
-const RENEW_EVERY = 8_192;
+const SAMPLES_PER_REFRESH = 64;
+/** The histogram is reset after this many samples to drop old lengths. */
+const MAX_SAMPLES = 8_192;
 const MIN_SAMPLES = 32;
 
 export interface LengthForecast {
   record(tokens: number): void;
-  /** Mean length in tokens. */
+  /** Returns the mean length in tokens. */
   meanTokens(): number;
-  /** Chance that an answer of `doneTokens` ends within `moreTokens`. */
+  /** Probability that an answer of `doneTokens` ends within `moreTokens`. */
   endChance(doneTokens: number, moreTokens: number): number;
-  /** Length that a share `quantile` of answers do not exceed. */
+  /** Returns the given quantile of the answer length. */
   quantileTokens(quantile: number): number;
 }
 
-function newHistogram(): Histogram {
+function createHistogram(): Histogram {
   return build({
     lowestDiscernibleValue: 1,
     highestTrackableValue: HIGHEST_TOKENS,
@@ -31,11 +31,13 @@
   });
 }
 
-/** @param firstGuessTokens Mean assumed until enough answers have ended. */
-export function createLengthForecast(firstGuessTokens: number): LengthForecast {
-  let histogram = newHistogram();
+/** @param initialMeanTokens Mean length until there are enough samples. */
+export function createLengthForecast(
+  initialMeanTokens: number,
+): LengthForecast {
+  let histogram = createHistogram();
   let count = 0;
-  let mean = firstGuessTokens;
+  let mean = initialMeanTokens;
   let table: readonly number[] = [];
 
   function refresh(): void {
@@ -47,8 +49,8 @@
     table = next;
   }
 
-  /** Share of answers not longer than `tokens`. */
-  function share(tokens: number): number {
+  /** Returns the share of answers not longer than `tokens`. */
+  function getShareUpTo(tokens: number): number {
     if (table.length === 0) return 1 - Math.exp(-tokens / mean);
     if (tokens < table[0]) return 0;
     let low = 0;
@@ -68,18 +70,19 @@
       if (tokens < 1) return;
       histogram.recordValue(Math.min(tokens, HIGHEST_TOKENS));
       count++;
-      if (count % REFRESH_EVERY === 0 || count === MIN_SAMPLES) refresh();
-      if (count >= RENEW_EVERY) {
-        histogram = newHistogram();
+      if (count % SAMPLES_PER_REFRESH === 0 || count === MIN_SAMPLES) refresh();
+      if (count >= MAX_SAMPLES) {
+        histogram = createHistogram();
         count = 0;
       }
     },
     meanTokens: () => mean,
     endChance(doneTokens, moreTokens) {
-      const left = 1 - share(doneTokens);
-      if (left <= 0) return 1;
-      const ended = share(doneTokens + moreTokens) - share(doneTokens);
-      return Math.min(1, ended / left);
+      const remainingShare = 1 - getShareUpTo(doneTokens);
+      if (remainingShare <= 0) return 1;
+      const ended =
+        getShareUpTo(doneTokens + moreTokens) - getShareUpTo(doneTokens);
+      return Math.min(1, ended / remainingShare);
     },
     quantileTokens(quantile) {
       if (table.length === 0) return -mean * Math.log(1 - quantile);
--- a/src/core/scheduling/link_schedule.ts
+++ b/src/core/scheduling/link_schedule.ts
@@ -1,6 +1,6 @@
 /**
- * Time on one network link that carries one KV transfer after another.
- * Bookings lie in the future, so short ones may fill gaps before long ones.
+ * Schedule of one network link that carries KV transfers one at a time. Bookings
+ * are made in advance, so a short transfer may fill a gap before a long one.
  */
 
 interface Booking {
@@ -10,11 +10,11 @@
 }
 
 export interface LinkSchedule {
-  /** Earliest start, not before `fromMs`, of a gap of `durationMs`. */
+  /** Returns the earliest start from `fromMs` of a gap of `durationMs`. */
   earliestStartMs(fromMs: number, durationMs: number): number;
   book(grantId: string, startMs: number, durationMs: number): void;
   release(grantId: string): void;
-  /** Forgets bookings that ended before `nowMs`. */
+  /** Removes bookings that ended before `nowMs`. */
   prune(nowMs: number): void;
   bookedMs(): number;
 }
--- a/src/core/scheduling/placement.ts
+++ b/src/core/scheduling/placement.ts
@@ -1,16 +1,16 @@
 /**
- * Which prefill engine and which decode engine a request gets, and when its
- * transfer has the links, or what it must wait for.
+ * Selects the prefill engine, the decode engine and the transfer time of a
+ * request, or determines which resource blocks it.
  */
 
 import {takesNewWork, type PoolEngine} from './engine_pool.js';
 import type {SchedulingPolicy} from './policy.js';
 
-/** What a request needs, as the home estimates it. */
+/** Estimated resource needs of a request. */
 export interface Demand {
   readonly promptKvBytes: number;
   readonly decodeKvBytes: number;
-  /** Without any cached prefix. */
+  /** Prefill time without a cached prefix. */
   readonly prefillMs: number;
   readonly prefillMsOn: (engine: PoolEngine) => number;
 }
@@ -23,18 +23,18 @@
   readonly prefillEndMs: number;
   readonly transferStartMs: number;
   readonly transferMs: number;
-  /** The slot or its memory is still in use and forecast to be free. */
+  /** The slot or its memory is still in use but forecast to become free. */
   readonly isFromForecast: boolean;
 }
 
 export interface Blocked {
   readonly kind: 'blocked';
   readonly by: 'no-engine' | 'prefill' | 'decode' | 'link';
-  /** The decode engine that will have room first. */
+  /** The decode engine expected to have room first. */
   readonly waitFor?: PoolEngine;
 }
 
-/** Milliseconds that a full engine counts as against an empty one. */
+/** Score penalty in ms of a full engine compared with an empty one. */
 const OCCUPANCY_WEIGHT_MS = 60;
 const CROSS_DOMAIN_MS = 3;
 
@@ -63,15 +63,15 @@
     bestEndMs = endMs;
   }
   if (!best) return {kind: 'blocked', by: hasEngine ? 'prefill' : 'no-engine'};
-  // An engine that has the prefix cached may be worth a wait, but no longer
-  // than the cache saves; so no engine gets hot.
+  // Waiting for an engine with a cached prefix is limited to the time that the
+  // cache saves, so that no engine is overloaded.
   const allowedMs = policy.prefillAheadMs + (slowestMs - bestMs);
   const backlogMs = best.backlog.freeAtMs(nowMs) - nowMs;
   if (backlogMs > allowedMs) return {kind: 'blocked', by: 'prefill'};
   return {engine: best, prefillMs: bestMs, endMs: bestEndMs};
 }
 
-/** Chance that a Poisson count with this mean is at least `atLeast`. */
+/** Returns the probability that a Poisson variable is at least `atLeast`. */
 export function poissonAtLeast(mean: number, atLeast: number): number {
   let term = Math.exp(-mean);
   let below = 0;
@@ -84,15 +84,15 @@
 
 type Room = 'free' | 'forecast' | 'none';
 
-function roomAt(
+function getRoom(
   engine: PoolEngine,
   demand: Demand,
   policy: SchedulingPolicy,
   horizonMs: number,
 ): Room {
   const {book, description} = engine;
-  const hiddenSlots = description.slots - engine.slotLimit;
-  const freeSlots = book.freeSlots() - hiddenSlots;
+  const unavailableSlots = description.slots - engine.slotLimit;
+  const freeSlots = book.freeSlots() - unavailableSlots;
   const freeKvBytes = book.freeKvBytes();
   if (freeSlots >= 1 && freeKvBytes >= demand.decodeKvBytes) return 'free';
   if (!policy.promiseFromForecast || engine.share < 1) return 'none';
@@ -106,12 +106,12 @@
   return chance >= policy.forecastConfidence ? 'forecast' : 'none';
 }
 
-/** A cheap look before the search: is there room on any engine? */
-function findNoRoom(
+/** Returns the blocking reason early if no decode engine has room. */
+function findDecodeBlock(
   engines: readonly PoolEngine[],
   demand: Demand,
   policy: SchedulingPolicy,
-  heldEngine: PoolEngine | undefined,
+  excludedEngine: PoolEngine | undefined,
 ): Blocked | undefined {
   const horizonMs = demand.prefillMs + policy.slotWaitMs;
   let waitFor: PoolEngine | undefined;
@@ -120,8 +120,8 @@
   for (const engine of engines) {
     if (engine.isLeaving || engine.share <= 0) continue;
     hasEngine = true;
-    if (engine === heldEngine) continue;
-    if (roomAt(engine, demand, policy, horizonMs) !== 'none') return undefined;
+    if (engine === excludedEngine) continue;
+    if (getRoom(engine, demand, policy, horizonMs) !== 'none') return undefined;
     const freeKvBytes = engine.book.freeKvBytes();
     if (freeKvBytes <= mostFreeKvBytes) continue;
     mostFreeKvBytes = freeKvBytes;
@@ -132,29 +132,34 @@
     : {kind: 'blocked', by: 'no-engine'};
 }
 
-/** Finds the pair whose first token comes first, at a fair load. */
+/** Finds the engine pair with the earliest first token, weighted by load. */
 export function place(
   prefillEngines: readonly PoolEngine[],
   decodeEngines: readonly PoolEngine[],
   demand: Demand,
   policy: SchedulingPolicy,
   nowMs: number,
-  heldEngine?: PoolEngine,
+  excludedEngine?: PoolEngine,
 ): Placement | Blocked {
-  const noRoom = findNoRoom(decodeEngines, demand, policy, heldEngine);
-  if (noRoom) return noRoom;
+  const decodeBlock = findDecodeBlock(
+    decodeEngines,
+    demand,
+    policy,
+    excludedEngine,
+  );
+  if (decodeBlock) return decodeBlock;
   const prefill = choosePrefill(prefillEngines, demand, policy, nowMs);
   if ('kind' in prefill) return prefill;
   const source = prefill.engine;
-  // The import may wait for room for as long as the result is kept.
+  // The import may wait for room while the prefill result is kept.
   const horizonMs = prefill.endMs - nowMs + policy.slotWaitMs;
   let best: Placement | undefined;
   let bestScore = Number.POSITIVE_INFINITY;
   let isLinkBlocked = false;
   for (const engine of decodeEngines) {
     if (engine.isLeaving || engine.share <= 0) continue;
-    if (engine === heldEngine) continue;
-    const room = roomAt(engine, demand, policy, horizonMs);
+    if (engine === excludedEngine) continue;
+    const room = getRoom(engine, demand, policy, horizonMs);
     if (room === 'none') continue;
     const rate = Math.min(
       source.description.linkBytesPerMs,
@@ -162,7 +167,7 @@
     );
     const transferMs = demand.promptKvBytes / rate;
     const startMs = policy.scheduleLinks
-      ? earliestCommonStart(source, engine, prefill.endMs, transferMs)
+      ? getEarliestCommonStartMs(source, engine, prefill.endMs, transferMs)
       : prefill.endMs;
     const linkWaitMs = startMs - prefill.endMs;
     if (linkWaitMs > policy.resultWaitMs) {
@@ -174,13 +179,13 @@
       book.usedSlots() / description.slots,
       book.usedKvBytes() / description.kvBytes,
     );
-    const isAway =
+    const isCrossDomain =
       description.failureDomain !== source.description.failureDomain;
     const score =
       linkWaitMs +
       transferMs +
       OCCUPANCY_WEIGHT_MS * occupancy +
-      (isAway ? CROSS_DOMAIN_MS : 0) +
+      (isCrossDomain ? CROSS_DOMAIN_MS : 0) +
       (room === 'forecast' ? OCCUPANCY_WEIGHT_MS : 0);
     if (score >= bestScore) continue;
     bestScore = score;
@@ -199,16 +204,16 @@
   return {kind: 'blocked', by: isLinkBlocked ? 'link' : 'decode'};
 }
 
-const COMMON_START_TRIES = 4;
+const MAX_COMMON_START_ATTEMPTS = 4;
 
-function earliestCommonStart(
+function getEarliestCommonStartMs(
   a: PoolEngine,
   b: PoolEngine,
   fromMs: number,
   durationMs: number,
 ): number {
   let startMs = fromMs;
-  for (let i = 0; i < COMMON_START_TRIES; i++) {
+  for (let i = 0; i < MAX_COMMON_START_ATTEMPTS; i++) {
     const atA = a.link.earliestStartMs(startMs, durationMs);
     const atB = b.link.earliestStartMs(atA, durationMs);
     if (atA === atB) return atA;
--- a/src/core/scheduling/policy.ts
+++ b/src/core/scheduling/policy.ts
@@ -1,42 +1,42 @@
-/** Every switch and knob of scheduling, with the defaults that ship. */
+/** Scheduling options and their defaults. */
 
 export interface SchedulingPolicy {
-  /** Order of the queue. */
+  /** Sort order of the queue. */
   readonly order: 'deadline' | 'arrival';
-  /** Refuse at arrival what the forecast says would be late. */
+  /** Refuse requests on arrival if they are forecast to start late. */
   readonly refuseEarly: boolean;
-  /** Let an account below its share displace one above it. */
+  /** Let requests of an account below its share displace others. */
   readonly isFair: boolean;
-  /** Promise slots that running answers will probably have freed in time. */
+  /** Grant slots that running answers are likely to free in time. */
   readonly promiseFromForecast: boolean;
-  /** Treat links as a resource with a timetable. */
+  /** Schedule transfers on the network links. */
   readonly scheduleLinks: boolean;
   readonly usePrefixCache: boolean;
   readonly watchHealth: boolean;
-  /** Hold fewer decode slots than an engine has when its pace is too slow. */
+  /** Use fewer decode slots of an engine whose token pace is too slow. */
   readonly limitPace: boolean;
   /**
-   * Chance that a slot promised from the forecast is really free in time;
-   * higher wastes fewer prefills and leaves slots empty for longer.
+   * Required probability that a slot granted from the forecast is free in
+   * time. A higher value wastes fewer prefills but leaves slots unused longer.
    */
   readonly forecastConfidence: number;
-  /** Share of the time to first token kept in reserve when admitting. */
+  /** Share of the time to first token kept as a margin at admission. */
   readonly admissionMargin: number;
-  /** Prefill work given to an engine ahead of need, to hide round trips. */
+  /** Prefill work queued at an engine in advance to hide round trips. */
   readonly prefillAheadMs: number;
-  /** Longest that a prefill's result may wait for its transfer. */
+  /** Longest wait of a prefill result for its transfer. */
   readonly resultWaitMs: number;
-  /** Time after the prefill in which a forecast slot must get free. */
+  /** Time after the prefill within which a forecast slot must become free. */
   readonly slotWaitMs: number;
-  /** Waiting requests tried past one that does not fit now. */
+  /** Number of requests tried after one that cannot be placed now. */
   readonly scanLimit: number;
 }
 
-/** At a waste weight above this no slot is promised from a forecast. */
-const FORECAST_WASTE_WEIGHT = 0.95;
-const LEAST_CONFIDENCE = 0.93;
+/** Above this waste weight no slot is granted from a forecast. */
+const MAX_FORECAST_WASTE_WEIGHT = 0.95;
+const MIN_CONFIDENCE = 0.93;
 
-/** @param wasteWeight 0: only goodput counts; 1: only wasted prefill. */
+/** @param wasteWeight 0 optimizes goodput only, 1 wasted prefills only. */
 export function createPolicy(
   wasteWeight: number,
   changes: Partial<SchedulingPolicy> = {},
@@ -45,12 +45,12 @@
     order: 'deadline',
     refuseEarly: true,
     isFair: true,
-    promiseFromForecast: wasteWeight <= FORECAST_WASTE_WEIGHT,
+    promiseFromForecast: wasteWeight <= MAX_FORECAST_WASTE_WEIGHT,
     scheduleLinks: true,
     usePrefixCache: true,
     watchHealth: true,
     limitPace: true,
-    forecastConfidence: LEAST_CONFIDENCE + (1 - LEAST_CONFIDENCE) * wasteWeight,
+    forecastConfidence: MIN_CONFIDENCE + (1 - MIN_CONFIDENCE) * wasteWeight,
     admissionMargin: 0.05 + 0.15 * wasteWeight,
     prefillAheadMs: 15,
     resultWaitMs: 300,
--- a/src/core/scheduling/prefill_backlog.ts
+++ b/src/core/scheduling/prefill_backlog.ts
@@ -1,18 +1,18 @@
-/** Prefills that one engine has been given and has not finished. */
+/** Prefills assigned to one engine that have not finished. */
 
 interface Job {
   readonly grantId: string;
   readonly estimateMs: number;
 }
 
-/** Share of its overrun that a late prefill is expected to take still. */
+/** Expected remaining time of a late prefill as a share of its overrun. */
 const OVERRUN_SHARE = 0.5;
 
 export interface PrefillBacklog {
   add(grantId: string, estimateMs: number, nowMs: number): void;
-  /** Ends or gives up a prefill; returns since when it ran, if it ran. */
+  /** Removes a prefill; returns its start time if it was running. */
   remove(grantId: string, nowMs: number): number | undefined;
-  /** When the engine has done what it has been given. */
+  /** Returns the time at which the engine is expected to be idle. */
   freeAtMs(nowMs: number): number;
   count(): number;
 }
--- a/src/core/scheduling/prefill_model.ts
+++ b/src/core/scheduling/prefill_model.ts
@@ -1,11 +1,11 @@
 /**
- * How long a prefill takes: a fixed part and a part for each token that is
- * not cached, fitted to the prefills seen, older ones fading.
+ * Estimates prefill times as a fixed overhead plus a time per uncached token,
+ * fitted to observed prefills with exponential decay.
  */
 
-const FADE = 0.98;
+const DECAY = 0.98;
 const MIN_SAMPLES = 6;
-/** A step is at least this much faster or slower to count as a spread. */
+/** Minimum variance of the token counts required for a linear fit. */
 const MIN_VARIANCE = 1;
 
 export interface PrefillModel {
@@ -15,11 +15,11 @@
 }
 
 export function createPrefillModel(
-  firstOverheadMs: number,
-  firstMsPerToken: number,
+  initialOverheadMs: number,
+  initialMsPerToken: number,
 ): PrefillModel {
-  let overheadMs = firstOverheadMs;
-  let msPerToken = firstMsPerToken;
+  let overheadMs = initialOverheadMs;
+  let msPerToken = initialMsPerToken;
   let samples = 0;
   let weight = 0;
   let sumX = 0;
@@ -43,11 +43,11 @@
 
   return {
     learn(tokens, tookMs) {
-      weight = weight * FADE + 1;
-      sumX = sumX * FADE + tokens;
-      sumY = sumY * FADE + tookMs;
-      sumXx = sumXx * FADE + tokens * tokens;
-      sumXy = sumXy * FADE + tokens * tookMs;
+      weight = weight * DECAY + 1;
+      sumX = sumX * DECAY + tokens;
+      sumY = sumY * DECAY + tookMs;
+      sumXx = sumXx * DECAY + tokens * tokens;
+      sumXy = sumXy * DECAY + tokens * tookMs;
       samples++;
       if (samples >= MIN_SAMPLES) fit();
     },
--- a/src/core/scheduling/prefix_index.ts
+++ b/src/core/scheduling/prefix_index.ts
@@ -1,24 +1,25 @@
 /**
- * Which engines hold which prompt prefixes, as far as late and gapped cache
- * events and our own prefills tell. Bounded per engine; a hint only.
+ * Index of the prompt prefixes cached by each engine, built from cache events
+ * and this home's own prefills. Events may be late or missing, so the index is
+ * only a hint. Its size is bounded per engine.
  */
 
 import type {CacheEvent} from '../../ports/engine.js';
 
-/** Entries kept per engine; about 80 bytes each. */
+/** Maximum entries per engine, of about 80 bytes each. */
 const DEFAULT_ENTRIES_PER_ENGINE = 4_096;
-const CONFIDENCE_STEP = 0.1;
-/** Trust left after a gap in an engine's events. */
-const GAP_TRUST = 0.8;
+const CONFIDENCE_SMOOTHING = 0.1;
+/** Factor applied to the confidence after a gap in an engine's events. */
+const GAP_CONFIDENCE_FACTOR = 0.8;
 const MIN_CONFIDENCE = 0.05;
 
 export interface PrefixIndex {
   apply(events: readonly CacheEvent[]): void;
-  /** Notes that an engine has just computed these sampled prefixes. */
+  /** Records that an engine has computed these sampled prefixes. */
   noteComputed(engineId: string, sampled: readonly string[]): void;
   /**
-   * Tokens expected in the engine's cache, scaled by how often its hints
-   * came true.
+   * Returns the tokens expected in the engine's cache, scaled by the accuracy
+   * of earlier hints.
    *
    * @param blockTokens Tokens in one block of the prompt.
    */
@@ -27,16 +28,16 @@
     sampled: readonly string[],
     blockTokens: number,
   ): number;
-  /** Compares a hint with what the engine found. */
+  /** Updates the confidence from the cached tokens reported by the engine. */
   learn(engineId: string, expectedTokens: number, foundTokens: number): void;
   forget(engineId: string): void;
   entryCount(): number;
 }
 
 /**
- * Keeps prefixes of 1, 2, 3, 4, 6, 8, 12, 16, 24 ... blocks: enough to know a
- * shared length within a third, at two entries for each doubling. Long
- * prompts would otherwise fill the index and cost microseconds each.
+ * Selects the prefixes of 1, 2, 3, 4, 6, 8, 12, 16, 24 ... blocks. This gives
+ * the shared length within a third at two entries per doubling. Without it,
+ * long prompts would fill the index and take microseconds each.
  */
 export function samplePrefixes(hashes: readonly string[]): readonly string[] {
   const sampled: string[] = [];
@@ -50,15 +51,15 @@
   return sampled;
 }
 
-/** Blocks in the first `held` sampled prefixes. */
-function sampledBlocks(held: number): number {
+/** Returns the number of blocks covered by `held` sampled prefixes. */
+function getBlockCount(held: number): number {
   if (held <= 1) return held;
   const doublings = Math.floor(held / 2);
   return held % 2 === 0 ? 2 ** doublings : 1.5 * 2 ** doublings;
 }
 
 interface EngineEntries {
-  /** Insertion order is age. */
+  /** Ordered by age, oldest first. */
   readonly hashes: Set<string>;
   lastSequence: number;
   confidence: number;
@@ -69,7 +70,7 @@
 ): PrefixIndex {
   const engines = new Map<string, EngineEntries>();
 
-  function entriesOf(engineId: string): EngineEntries {
+  function getEntries(engineId: string): EngineEntries {
     let entries = engines.get(engineId);
     if (!entries) {
       entries = {hashes: new Set(), lastSequence: 0, confidence: 0.9};
@@ -79,12 +80,12 @@
   }
 
   function insert(entries: EngineEntries, hashes: readonly string[]): void {
-    // Longest first, so that the shortest prefixes, which serve the most
-    // prompts, are the youngest and stay longest.
-    const isRoomy = entries.hashes.size < entriesPerEngine / 2;
+    // Inserted longest first: the shortest prefixes match the most prompts and
+    // should be evicted last.
+    const hasSpace = entries.hashes.size < entriesPerEngine / 2;
     for (let i = hashes.length - 1; i >= 0; i--) {
-      // Age matters only once something has to go.
-      if (isRoomy && entries.hashes.has(hashes[i])) continue;
+      // The order matters only when entries have to be evicted.
+      if (hasSpace && entries.hashes.has(hashes[i])) continue;
       entries.hashes.delete(hashes[i]);
       entries.hashes.add(hashes[i]);
     }
@@ -108,8 +109,8 @@
     cleared: entries => entries.hashes.clear(),
   };
 
-  /** Prefixes nest, so the longest held one is found by bisection. */
-  function longestHeld(held: Set<string>, hashes: readonly string[]): number {
+  /** Counts the held prefixes by bisection, since prefixes are nested. */
+  function countHeld(held: Set<string>, hashes: readonly string[]): number {
     let low = 0;
     let high = hashes.length;
     while (low < high) {
@@ -123,33 +124,33 @@
   return {
     apply(events) {
       for (const event of events) {
-        const entries = entriesOf(event.engineId);
+        const entries = getEntries(event.engineId);
         if (event.sequence <= entries.lastSequence) continue;
         const isGap =
           entries.lastSequence > 0 && event.sequence > entries.lastSequence + 1;
-        if (isGap) entries.confidence *= GAP_TRUST;
+        if (isGap) entries.confidence *= GAP_CONFIDENCE_FACTOR;
         entries.lastSequence = event.sequence;
         handlers[event.kind](entries, event.prefixHashes);
       }
     },
     noteComputed(engineId, sampled) {
-      insert(entriesOf(engineId), sampled);
+      insert(getEntries(engineId), sampled);
     },
     expectedCachedTokens(engineId, sampled, blockTokens) {
       if (sampled.length === 0) return 0;
       const entries = engines.get(engineId);
       if (!entries || entries.hashes.size === 0) return 0;
-      const held = longestHeld(entries.hashes, sampled);
-      return sampledBlocks(held) * blockTokens * entries.confidence;
+      const held = countHeld(entries.hashes, sampled);
+      return getBlockCount(held) * blockTokens * entries.confidence;
     },
     learn(engineId, expectedTokens, foundTokens) {
       if (expectedTokens <= 0) return;
-      const entries = entriesOf(engineId);
+      const entries = getEntries(engineId);
       const hit = Math.min(
         1,
         (foundTokens * entries.confidence) / expectedTokens,
       );
-      entries.confidence += CONFIDENCE_STEP * (hit - entries.confidence);
+      entries.confidence += CONFIDENCE_SMOOTHING * (hit - entries.confidence);
       entries.confidence = Math.max(MIN_CONFIDENCE, entries.confidence);
     },
     forget(engineId) {
--- a/src/core/scheduling/role_plan.ts
+++ b/src/core/scheduling/role_plan.ts
@@ -1,12 +1,12 @@
 /**
- * Decides when an engine of a service should change its role, or load a model
- * or adapter. Only decides: orders go through the coordination part, which
- * holds the lease, the fencing number and the weight store's rate.
+ * Plans role changes of a service's engines and loads of models or adapters.
+ * The orders are sent by the coordination code, which manages the lease, the
+ * fencing token and the weight store's rate.
  */
 
 import type {EngineRole} from '../../ports/engine.js';
 
-/** What is known of an engine when roles are planned. */
+/** State of an engine used for planning. */
 export interface PlannedEngine {
   readonly engineId: string;
   readonly role: EngineRole;
@@ -14,28 +14,28 @@
   readonly models: readonly string[];
   readonly usedSlots: number;
   readonly isLeaving: boolean;
-  /** An order to it has not ended yet. */
+  /** An order to the engine is still in progress. */
   readonly isChanging: boolean;
 }
 
-/** Load over some time, in engines of each role that it would fill. */
+/** Recent load of each role, in number of fully used engines. */
 export interface RoleDemand {
   readonly prefillEngines: number;
   readonly decodeEngines: number;
 }
 
 export interface RolePlanOptions {
-  /** Usage above which a pool is short. */
+  /** Utilization above which a pool is short of engines. */
   readonly highUse: number;
-  /** Usage that the giving pool may not exceed after the change. */
+  /** Maximum utilization of the donating pool after the change. */
   readonly safeUse: number;
-  /** How long a pool must be short before anything changes. */
+  /** How long a pool must be short before a change. */
   readonly shortForMs: number;
-  /** Rest after a change, so that its effect is seen first. */
+  /** Delay after a change until its effect is visible. */
   readonly restMs: number;
   readonly minPrefill: number;
   readonly minDecode: number;
-  /** Most engines that change in one step; the others serve meanwhile. */
+  /** Maximum engines that change at once while the others serve requests. */
   readonly mostAtOnce: number;
 }
 
@@ -49,17 +49,17 @@
   mostAtOnce: 1,
 };
 
-/** Memory of the plan between two looks. */
+/** State kept between two planning steps. */
 export interface RolePlanState {
   readonly shortRole: EngineRole | undefined;
   readonly shortSinceMs: number;
-  readonly restsUntilMs: number;
+  readonly cooldownUntilMs: number;
 }
 
 export const FIRST_ROLE_PLAN_STATE: RolePlanState = {
   shortRole: undefined,
   shortSinceMs: 0,
-  restsUntilMs: 0,
+  cooldownUntilMs: 0,
 };
 
 export interface RoleChange {
@@ -77,7 +77,7 @@
   readonly decode: readonly PlannedEngine[];
 }
 
-function poolsOf(engines: readonly PlannedEngine[]): Pools {
+function groupByRole(engines: readonly PlannedEngine[]): Pools {
   const usable = engines.filter(each => !each.isLeaving && !each.isChanging);
   return {
     prefill: usable.filter(each => each.role === 'prefill'),
@@ -85,7 +85,7 @@
   };
 }
 
-/** The role that has too few engines while the other can spare one. */
+/** Returns the role that is short while the other can spare an engine. */
 function findShortRole(
   pools: Pools,
   demand: RoleDemand,
@@ -95,20 +95,20 @@
   const decodeCount = pools.decode.length;
   const prefillUse = demand.prefillEngines / Math.max(1, prefillCount);
   const decodeUse = demand.decodeEngines / Math.max(1, decodeCount);
-  const canGivePrefill =
+  const canSparePrefill =
     prefillCount > options.minPrefill &&
     demand.prefillEngines <= (prefillCount - 1) * options.safeUse;
-  const canGiveDecode =
+  const canSpareDecode =
     decodeCount > options.minDecode &&
     demand.decodeEngines <= (decodeCount - 1) * options.safeUse;
-  if (prefillUse > options.highUse && canGiveDecode) return 'prefill';
-  if (decodeUse > options.highUse && canGivePrefill) return 'decode';
+  if (prefillUse > options.highUse && canSpareDecode) return 'prefill';
+  if (decodeUse > options.highUse && canSparePrefill) return 'decode';
   return undefined;
 }
 
 /**
- * How many engines the short pool should get: so many that it is short no
- * more, as far as the other can spare them.
+ * Returns the number of engines to move: enough to end the shortage, as far as
+ * the other pool can spare them.
  */
 function countChanges(
   pools: Pools,
@@ -117,28 +117,28 @@
   options: RolePlanOptions,
 ): number {
   const isPrefill = shortRole === 'prefill';
-  const [givers, takers] = isPrefill
+  const [donorCount, recipientCount] = isPrefill
     ? [pools.decode.length, pools.prefill.length]
     : [pools.prefill.length, pools.decode.length];
-  const [giverNeed, takerNeed] = isPrefill
+  const [donorDemand, recipientDemand] = isPrefill
     ? [demand.decodeEngines, demand.prefillEngines]
     : [demand.prefillEngines, demand.decodeEngines];
-  const fewest = isPrefill ? options.minDecode : options.minPrefill;
-  const kept = Math.max(fewest, Math.ceil(giverNeed / options.safeUse));
-  const spare = givers - kept;
-  const missing = Math.ceil(takerNeed / options.safeUse) - takers;
+  const minDonors = isPrefill ? options.minDecode : options.minPrefill;
+  const kept = Math.max(minDonors, Math.ceil(donorDemand / options.safeUse));
+  const spare = donorCount - kept;
+  const missing = Math.ceil(recipientDemand / options.safeUse) - recipientCount;
   return Math.max(1, Math.min(spare, missing, options.mostAtOnce));
 }
 
-/** Engines that change, chosen one by one as if each had changed before. */
-function pickGivers(
-  givers: readonly PlannedEngine[],
+/** Picks engines one by one, each time without those already picked. */
+function pickDonors(
+  donors: readonly PlannedEngine[],
   count: number,
 ): readonly PlannedEngine[] {
   const picked: PlannedEngine[] = [];
-  let left = givers;
+  let left = donors;
   while (picked.length < count) {
-    const next = pickGiver(left);
+    const next = pickDonor(left);
     if (!next) break;
     picked.push(next);
     left = left.filter(each => each !== next);
@@ -146,16 +146,16 @@
   return picked;
 }
 
-/** The engine that loses least: few answers, from the fullest domain. */
-function pickGiver(
-  givers: readonly PlannedEngine[],
+/** Picks from the largest failure domain the engine with the fewest slots used. */
+function pickDonor(
+  donors: readonly PlannedEngine[],
 ): PlannedEngine | undefined {
   const countByDomain = new Map<string, number>();
-  for (const engine of givers) {
+  for (const engine of donors) {
     const count = countByDomain.get(engine.failureDomain) ?? 0;
     countByDomain.set(engine.failureDomain, count + 1);
   }
-  return [...givers].sort(
+  return [...donors].sort(
     (a, b) =>
       countByDomain.get(b.failureDomain)! -
         countByDomain.get(a.failureDomain)! ||
@@ -165,11 +165,11 @@
 }
 
 /**
- * One look at a service. A change is proposed only after the same pool has
- * been short for the whole time, the other can spare an engine without
- * becoming short itself, and the last change is long enough ago: without
- * these, two pools near their limits would swap engines for ever, and each
- * swap costs a drain and a load from the weight store.
+ * Runs one planning step of a service. A change is proposed only if the same
+ * pool has been short for the whole period, the other pool can spare an engine
+ * without becoming short, and the last change is long enough ago. Otherwise two
+ * pools near their limits would keep swapping engines, and each swap costs a
+ * drain and a load from the weight store.
  */
 export function planRoles(
   state: RolePlanState,
@@ -178,10 +178,10 @@
   nowMs: number,
   options: RolePlanOptions = DEFAULT_ROLE_PLAN,
 ): RolePlanStep {
-  const pools = poolsOf(engines);
+  const pools = groupByRole(engines);
   const shortRole = findShortRole(pools, demand, options);
   const isChanging = engines.some(each => each.isChanging);
-  if (shortRole === undefined || isChanging || nowMs < state.restsUntilMs) {
+  if (shortRole === undefined || isChanging || nowMs < state.cooldownUntilMs) {
     return {
       state: {...state, shortRole: undefined, shortSinceMs: nowMs},
       changes: [],
@@ -196,21 +196,21 @@
   if (nowMs - state.shortSinceMs < options.shortForMs) {
     return {state, changes: []};
   }
-  const givers = shortRole === 'prefill' ? pools.decode : pools.prefill;
+  const donors = shortRole === 'prefill' ? pools.decode : pools.prefill;
   const count = countChanges(pools, shortRole, demand, options);
-  const picked = pickGivers(givers, count);
+  const picked = pickDonors(donors, count);
   if (picked.length === 0) return {state, changes: []};
   return {
     state: {
       shortRole: undefined,
       shortSinceMs: nowMs,
-      restsUntilMs: nowMs + options.restMs,
+      cooldownUntilMs: nowMs + options.restMs,
     },
     changes: picked.map(({engineId}) => ({engineId, role: shortRole})),
   };
 }
 
-/** How much each model or adapter is asked for, in engines it would fill. */
+/** Load of each model or adapter, in number of fully used engines. */
 export type ModelDemand = ReadonlyMap<string, number>;
 
 export interface ModelLoad {
@@ -218,37 +218,44 @@
   readonly model: string;
 }
 
-/** Fewest engines of each model that is asked for at all. */
+/** Minimum engines for each model with any demand. */
 const MIN_ENGINES_PER_MODEL = 2;
 
 /**
- * The next loads so that every model asked for has enough engines, at most
- * `mostLoads` at once since the weight store is rate-limited.
+ * Returns the next loads that give every model in demand enough engines, at
+ * most `maxLoads` at once since the weight store is rate-limited.
  */
 export function planModelLoads(
   engines: readonly PlannedEngine[],
   demand: ModelDemand,
-  mostLoads: number,
+  maxLoads: number,
 ): readonly ModelLoad[] {
   const loads: ModelLoad[] = [];
   const usable = engines.filter(each => !each.isLeaving && !each.isChanging);
-  const taken = new Set<string>();
+  const selectedIds = new Set<string>();
   const changing = engines.filter(each => each.isChanging).length;
-  const allowed = Math.max(0, mostLoads - changing);
-  const byNeed = [...demand].sort((a, b) => b[1] - a[1]);
-  for (const [model, filled] of byNeed) {
-    if (filled <= 0) continue;
-    const wanted = Math.max(MIN_ENGINES_PER_MODEL, Math.ceil(filled));
-    const holders = usable.filter(each => each.models.includes(model)).length;
+  const allowed = Math.max(0, maxLoads - changing);
+  const byDemand = [...demand].sort((a, b) => b[1] - a[1]);
+  for (const [model, demandedEngines] of byDemand) {
+    if (demandedEngines <= 0) continue;
+    const wanted = Math.max(MIN_ENGINES_PER_MODEL, Math.ceil(demandedEngines));
+    const engineCount = usable.filter(each =>
+      each.models.includes(model),
+    ).length;
     const candidates = usable
-      .filter(each => !each.models.includes(model) && !taken.has(each.engineId))
+      .filter(
+        each => !each.models.includes(model) && !selectedIds.has(each.engineId),
+      )
       .sort(
         (a, b) =>
           a.models.length - b.models.length || a.usedSlots - b.usedSlots,
       );
-    for (const engine of candidates.slice(0, Math.max(0, wanted - holders))) {
+    for (const engine of candidates.slice(
+      0,
+      Math.max(0, wanted - engineCount),
+    )) {
       if (loads.length >= allowed) return loads;
-      taken.add(engine.engineId);
+      selectedIds.add(engine.engineId);
       loads.push({engineId: engine.engineId, model});
     }
   }
--- a/src/core/scheduling/service_model.ts
+++ b/src/core/scheduling/service_model.ts
@@ -1,6 +1,6 @@
 /**
- * What a home has learned of one service: prefill times, KV bytes for each
- * token, lengths of answers by class, time between tokens.
+ * Learned figures of one service: prefill times, KV bytes per token, answer
+ * lengths by class, and the time between tokens.
  */
 
 import type {GrantRequest, RequestClass} from '../../ports/grants.js';
@@ -25,7 +25,7 @@
 };
 
 const SMOOTHING = 0.1;
-/** A sample may move a learned value at most this far at once. */
+/** A sample is limited to this multiple of the current value. */
 const MAX_STEP_FACTOR = 3;
 
 export interface ServiceModel {
@@ -35,38 +35,39 @@
   learnKv(tokens: number, kvBytes: number): void;
   intervalMs(): number;
   learnInterval(intervalMs: number): void;
-  /** Expected number of tokens that the answer still gets. */
+  /** Returns the expected number of remaining answer tokens. */
   expectedTokens(request: GrantRequest): number;
-  /** Mean time that a decode slot is held, milliseconds. */
+  /** Returns the mean time that a decode slot is held, in milliseconds. */
   meanHoldMs(): number;
   noteHold(holdMs: number): void;
 }
 
 export function createServiceModel(
-  guesses: ModelGuesses,
+  initialEstimates: ModelGuesses,
   pool: EnginePool,
 ): ServiceModel {
   const byClass: Readonly<Record<RequestClass, LengthForecast>> = {
-    interactive: createLengthForecast(guesses.answerTokens),
-    patient: createLengthForecast(guesses.answerTokens),
+    interactive: createLengthForecast(initialEstimates.answerTokens),
+    patient: createLengthForecast(initialEstimates.answerTokens),
   };
-  let kvBytesPerToken = guesses.kvBytesPerToken;
-  let intervalMs = guesses.tokenIntervalMs;
-  let holdMs = guesses.answerTokens * guesses.tokenIntervalMs;
+  let kvBytesPerToken = initialEstimates.kvBytesPerToken;
+  let intervalMs = initialEstimates.tokenIntervalMs;
+  let holdMs = initialEstimates.answerTokens * initialEstimates.tokenIntervalMs;
 
-  function bounded(sample: number, current: number): number {
+  function limitSample(sample: number, current: number): number {
     return Math.min(sample, current * MAX_STEP_FACTOR);
   }
 
   return {
     prefill: createPrefillModel(
-      guesses.prefillOverheadMs,
-      guesses.prefillMsPerToken,
+      initialEstimates.prefillOverheadMs,
+      initialEstimates.prefillMsPerToken,
     ),
     lengths: requestClass => byClass[requestClass],
     kvBytesPerToken() {
       if (kvBytesPerToken > 0) return kvBytesPerToken;
-      // Nothing learned yet: a slot's share of memory holds this many tokens.
+      // Without samples, a slot's share of memory is assumed to hold this many
+      // tokens.
       const tokensInSlot = 2_048;
       const [engine] = pool.decode;
       if (!engine) return 0;
@@ -76,24 +77,24 @@
     learnKv(tokens, kvBytes) {
       if (tokens < 1 || kvBytes <= 0) return;
       const sample = kvBytes / tokens;
-      // Rises at once and falls slowly: too low a value would promise more
-      // memory than there is.
+      // Increases are applied at once and decreases slowly, since too low a
+      // value would overcommit memory.
       if (sample >= kvBytesPerToken) kvBytesPerToken = sample;
       else kvBytesPerToken += SMOOTHING * (sample - kvBytesPerToken);
     },
     intervalMs: () => intervalMs,
     learnInterval(sampleMs) {
-      const sample = bounded(sampleMs, intervalMs);
+      const sample = limitSample(sampleMs, intervalMs);
       intervalMs += SMOOTHING * (sample - intervalMs);
     },
     expectedTokens(request) {
       const mean = byClass[request.requestClass].meanTokens();
-      const leftOfMean = Math.max(1, mean - request.resumeOffset);
-      return Math.min(request.maxTokens, leftOfMean);
+      const remainingTokens = Math.max(1, mean - request.resumeOffset);
+      return Math.min(request.maxTokens, remainingTokens);
     },
     meanHoldMs: () => holdMs,
     noteHold(sampleMs) {
-      holdMs += SMOOTHING * (bounded(sampleMs, holdMs) - holdMs);
+      holdMs += SMOOTHING * (limitSample(sampleMs, holdMs) - holdMs);
     },
   };
 }
--- a/src/core/scheduling/shard_score.ts
+++ b/src/core/scheduling/shard_score.ts
@@ -1,31 +1,31 @@
-/** Compares shards by what a lagging summary and own asks tell of them. */
+/** Scores shards by their delayed summaries and this entry's own requests. */
 
-/** What an entry knows of one shard when it chooses. */
+/** State of one shard as known to an entry. */
 export interface ShardFigures {
   readonly freeSlots: number;
   readonly totalSlots: number;
   readonly waitMs: number;
   /** Age of the summary. */
   readonly ageMs: number;
-  /** Own asks and grants that the summary cannot show yet. */
+  /** Own requests and grants not yet included in the summary. */
   readonly ownUnseen: number;
   readonly isOwnDomain: boolean;
   readonly hasPrefix: boolean;
-  /** Not long ago the home did not answer. */
+  /** The home recently did not answer. */
   readonly isSuspect: boolean;
 }
 
 export interface ShardWeights {
-  /** Round trip to another failure domain, and its link's price. */
+  /** Penalty of another failure domain for the round trip and link use. */
   readonly awayMs: number;
-  /** What a cached prefix saves. */
+  /** Time saved by a cached prefix. */
   readonly prefixMs: number;
-  /** Wait for each slot that our own unseen asks are short. */
+  /** Wait per slot missing for the requests not yet in the summary. */
   readonly shortSlotMs: number;
   readonly suspectMs: number;
-  /** After this a summary counts as no knowledge. */
+  /** A summary older than this is ignored. */
   readonly staleMs: number;
-  /** Wait assumed of a shard of which nothing is known. */
+  /** Assumed wait of a shard without a current summary. */
   readonly unknownWaitMs: number;
 }
 
@@ -38,18 +38,18 @@
   unknownWaitMs: 500,
 };
 
-/** Milliseconds until a first token, as far as it differs by shard. */
+/** Returns the part of the time to first token that depends on the shard. */
 export function scoreShard(
   figures: ShardFigures,
   weights: ShardWeights,
 ): number {
   const isStale = figures.ageMs > weights.staleMs;
-  const knownMs = isStale ? weights.unknownWaitMs : figures.waitMs;
+  const waitMs = isStale ? weights.unknownWaitMs : figures.waitMs;
   const shortSlots = Math.max(0, figures.ownUnseen + 1 - figures.freeSlots);
   const fullness =
     figures.totalSlots > 0 ? 1 - figures.freeSlots / figures.totalSlots : 1;
   return (
-    knownMs +
+    waitMs +
     shortSlots * weights.shortSlotMs +
     fullness * weights.shortSlotMs +
     (figures.isOwnDomain ? 0 : weights.awayMs) +
--- a/src/core/scheduling/wait_queue.ts
+++ b/src/core/scheduling/wait_queue.ts
@@ -1,18 +1,18 @@
 /**
- * Requests waiting for a grant in order of urgency, with running sums of the
- * work that goes before a given place.
+ * A queue of requests that wait for a grant, in order of urgency, with sums of
+ * the work queued before a given position.
  */
 
-/** What the queue needs to know of a waiting request. */
+/** Properties of a waiting request used by the queue. */
 export interface QueueItem {
   readonly account: string;
-  /** Smaller goes first: the latest start, or the arrival. */
+  /** Sort key, smallest first: the latest start or the arrival time. */
   readonly orderMs: number;
   readonly prefillMs: number;
   readonly kvBytes: number;
 }
 
-/** Work queued before some time. */
+/** Work queued before a given time. */
 export interface WorkAhead {
   readonly count: number;
   readonly prefillMs: number;
@@ -24,12 +24,12 @@
   remove(item: T): boolean;
   size(): number;
   at(index: number): T;
-  /** What goes before, or with, `orderMs`. */
+  /** Returns the work queued up to and including `orderMs`. */
   workBefore(orderMs: number): WorkAhead;
-  /** Waiting requests of one account, in order of arrival. */
+  /** Returns the waiting requests of one account, in order of arrival. */
   ofAccount(account: string): readonly T[];
   accounts(): IterableIterator<string>;
-  /** Waiting requests in order. */
+  /** Returns the waiting requests in queue order. */
   items(): readonly T[];
 }
 
@@ -38,7 +38,7 @@
 const BLOCKS = 64;
 const BINS = BINS_PER_BLOCK * BLOCKS;
 
-/** Sums in a ring of time bins, two levels deep. */
+/** Sums over a ring of time bins, with block sums as a second level. */
 function createBinSums() {
   const bins = new Float64Array(BINS);
   const blocks = new Float64Array(BLOCKS);
@@ -47,7 +47,7 @@
       bins[bin] += amount;
       blocks[Math.floor(bin / BINS_PER_BLOCK)] += amount;
     },
-    /** Sum over the ring from bin `first` up to and with `last`. */
+    /** Returns the sum of the bins from `first` to `last`, inclusive. */
     between(first: number, last: number): number {
       let sum = 0;
       let bin = first;
@@ -72,12 +72,12 @@
 export function createWaitQueue<T extends QueueItem>(): WaitQueue<T> {
   const order: T[] = [];
   const byAccount = new Map<string, T[]>();
-  const counts = createBinSums();
-  const prefills = createBinSums();
-  const kvs = createBinSums();
+  const countSums = createBinSums();
+  const prefillSums = createBinSums();
+  const kvSums = createBinSums();
   const binOf = new Map<T, number>();
 
-  /** Index of the first item that goes after `orderMs`. */
+  /** Returns the index of the first item after `orderMs`. */
   function upperBound(orderMs: number): number {
     let low = 0;
     let high = order.length;
@@ -89,20 +89,20 @@
     return low;
   }
 
-  function binFor(orderMs: number): number {
+  function getBin(orderMs: number): number {
     return Math.max(0, Math.floor(orderMs / BIN_MS));
   }
 
   function addSums(item: T, bin: number, sign: 1 | -1): void {
-    counts.add(bin, sign);
-    prefills.add(bin, sign * item.prefillMs);
-    kvs.add(bin, sign * item.kvBytes);
+    countSums.add(bin, sign);
+    prefillSums.add(bin, sign * item.prefillMs);
+    kvSums.add(bin, sign * item.kvBytes);
   }
 
   return {
     add(item) {
       order.splice(upperBound(item.orderMs), 0, item);
-      const bin = binFor(item.orderMs) % BINS;
+      const bin = getBin(item.orderMs) % BINS;
       binOf.set(item, bin);
       addSums(item, bin, 1);
       const own = byAccount.get(item.account);
@@ -126,12 +126,12 @@
     at: index => order[index],
     workBefore(orderMs) {
       if (order.length === 0) return {count: 0, prefillMs: 0, kvBytes: 0};
-      const first = binFor(order[0].orderMs);
-      const last = Math.min(binFor(orderMs), first + BINS - 1);
+      const first = getBin(order[0].orderMs);
+      const last = Math.min(getBin(orderMs), first + BINS - 1);
       return {
-        count: Math.round(counts.between(first, last)),
-        prefillMs: Math.max(0, prefills.between(first, last)),
-        kvBytes: Math.max(0, kvs.between(first, last)),
+        count: Math.round(countSums.between(first, last)),
+        prefillMs: Math.max(0, prefillSums.between(first, last)),
+        kvBytes: Math.max(0, kvSums.between(first, last)),
       };
     },
     ofAccount: account => byAccount.get(account) ?? [],
