--- a/src/core/account_limits.ts
+++ b/src/core/account_limits.ts
@@ -1,10 +1,10 @@
 /**
- * Limits of client accounts at one entry: a rate by token bucket, and a bound
- * on requests that run at once.
+ * Limits of client accounts at one entry: a token bucket for the request rate,
+ * and a limit of concurrent requests.
  *
- * The limits in the settings are for all entries together. No entry can know
- * what the others admitted just now, so each takes an even share, and some
- * more because callers don't spread evenly; the fleet may admit at most
+ * The limits in the settings apply to all entries together. An entry does not
+ * know the current load of the others, so each uses an even share with a
+ * margin, because callers are not spread evenly. The fleet may admit at most
  * `SHARE_SLACK` times the limit.
  */
 
@@ -21,14 +21,14 @@
   | {readonly kind: 'refused'; readonly retryAfterMs: number};
 
 export interface AccountLimits {
-  /** Takes one place; give it back with `release`. */
+  /** Admits a request; `release` must be called when it ends. */
   admit(account: AccountSettings): AccountAdmission;
   release(accountName: string): void;
-  /** Requests that run for this account at this entry. */
+  /** Returns the number of running requests of the account at this entry. */
   runningCount(accountName: string): number;
 }
 
-interface AccountBooks {
+interface AccountState {
   availableCount: number;
   updatedAtMs: number;
   runningCount: number;
@@ -36,54 +36,57 @@
 
 export interface AccountLimitsHost {
   readonly clock: Clock;
-  /** Entries that share the limits, at least 1. */
+  /** Returns the number of entries that share the limits, at least 1. */
   entryCount(): number;
 }
 
 export function createAccountLimits(host: AccountLimitsHost): AccountLimits {
-  const books = new Map<string, AccountBooks>();
+  const states = new Map<string, AccountState>();
 
-  /** Share of a fleet-wide limit that this entry may use. */
-  function shareOf(limit: number): number {
+  /** Returns this entry's share of a fleet-wide limit. */
+  function getEntryShare(limit: number): number {
     const entryCount = Math.max(1, host.entryCount());
     return entryCount === 1 ? limit : (limit * SHARE_SLACK) / entryCount;
   }
 
-  function refill(account: AccountSettings): AccountBooks {
+  function refill(account: AccountSettings): AccountState {
     const nowMs = host.clock.nowMs();
-    const perMs = shareOf(account.requestsPerSecond) / MS_PER_SECOND;
+    const perMs = getEntryShare(account.requestsPerSecond) / MS_PER_SECOND;
     const burst = Math.max(1, perMs * BURST_MS);
-    let entry = books.get(account.name);
-    if (!entry) {
-      entry = {availableCount: burst, updatedAtMs: nowMs, runningCount: 0};
-      books.set(account.name, entry);
+    let state = states.get(account.name);
+    if (!state) {
+      state = {availableCount: burst, updatedAtMs: nowMs, runningCount: 0};
+      states.set(account.name, state);
     }
-    const gained = (nowMs - entry.updatedAtMs) * perMs;
-    entry.availableCount = Math.min(burst, entry.availableCount + gained);
-    entry.updatedAtMs = nowMs;
-    return entry;
+    const gained = (nowMs - state.updatedAtMs) * perMs;
+    state.availableCount = Math.min(burst, state.availableCount + gained);
+    state.updatedAtMs = nowMs;
+    return state;
   }
 
   return {
     admit(account) {
-      const entry = refill(account);
-      const maxRunning = Math.max(1, Math.ceil(shareOf(account.maxConcurrent)));
-      if (entry.runningCount >= maxRunning) {
+      const state = refill(account);
+      const maxRunning = Math.max(
+        1,
+        Math.ceil(getEntryShare(account.maxConcurrent)),
+      );
+      if (state.runningCount >= maxRunning) {
         return {kind: 'refused', retryAfterMs: MS_PER_SECOND};
       }
-      if (entry.availableCount < 1) {
-        const perMs = shareOf(account.requestsPerSecond) / MS_PER_SECOND;
-        const waitMs = (1 - entry.availableCount) / perMs;
+      if (state.availableCount < 1) {
+        const perMs = getEntryShare(account.requestsPerSecond) / MS_PER_SECOND;
+        const waitMs = (1 - state.availableCount) / perMs;
         return {kind: 'refused', retryAfterMs: Math.max(MIN_RETRY_MS, waitMs)};
       }
-      entry.availableCount--;
-      entry.runningCount++;
+      state.availableCount--;
+      state.runningCount++;
       return {kind: 'admitted'};
     },
     release(accountName) {
-      const entry = books.get(accountName);
-      if (entry && entry.runningCount > 0) entry.runningCount--;
+      const state = states.get(accountName);
+      if (state && state.runningCount > 0) state.runningCount--;
     },
-    runningCount: accountName => books.get(accountName)?.runningCount ?? 0,
+    runningCount: accountName => states.get(accountName)?.runningCount ?? 0,
   };
 }
--- a/src/core/bounded_map.ts
+++ b/src/core/bounded_map.ts
@@ -1,15 +1,15 @@
-/** A map that forgets what was set longest ago once it holds too much. */
+/** A map with a size limit that evicts the entry set longest ago. */
 
 export interface BoundedMap<Value> {
   get(key: string): Value | undefined;
   has(key: string): boolean;
   set(key: string, value: Value): void;
   delete(key: string): void;
-  /** From the one that was set longest ago. */
+  /** Returns the entries, those set longest ago first. */
   entries(): Iterable<readonly [string, Value]>;
 }
 
-export function createBoundedMap<Value>(most: number): BoundedMap<Value> {
+export function createBoundedMap<Value>(maxEntries: number): BoundedMap<Value> {
   const values = new Map<string, Value>();
   return {
     get: key => values.get(key),
@@ -17,7 +17,7 @@
     set(key, value) {
       values.delete(key);
       values.set(key, value);
-      if (values.size <= most) return;
+      if (values.size <= maxEntries) return;
       const [oldest] = values.keys();
       values.delete(oldest);
     },
--- a/src/core/caller_key.ts
+++ b/src/core/caller_key.ts
@@ -1,15 +1,15 @@
-/** Keys of callers, which stay in memory as digests only. */
+/** Digests of caller keys; the keys themselves are not kept in memory. */
 
 import {createHash} from 'node:crypto';
 
 const BEARER = /^Bearer +(\S+)$/i;
 
-/** Digest under which a key is kept, compared and handed to other hosts. */
+/** Returns the digest by which a key is stored, compared and sent to peers. */
 export function digestCallerKey(key: string): string {
   return createHash('sha256').update(key).digest('hex');
 }
 
-/** Digest of the key in an `Authorization` header; undefined without one. */
+/** Returns the digest of the key in an `Authorization` header, if any. */
 export function readKeyDigest(
   authorization: string | undefined,
 ): string | undefined {
--- a/src/core/derived_list.ts
+++ b/src/core/derived_list.ts
@@ -1,14 +1,14 @@
-/** Derives a list from another, anew only when that is another array. */
+/** Caches a list derived from another until the source array changes. */
 export function createDerivedList<Source, Item>(
   source: () => readonly Source[],
   derive: (list: readonly Source[]) => readonly Item[],
 ): () => readonly Item[] {
-  let derivedOf: readonly Source[] | undefined;
+  let lastSource: readonly Source[] | undefined;
   let derived: readonly Item[] = [];
   return () => {
     const list = source();
-    if (list !== derivedOf) derived = derive(list);
-    derivedOf = list;
+    if (list !== lastSource) derived = derive(list);
+    lastSource = list;
     return derived;
   };
 }
--- a/src/core/diagnostics.ts
+++ b/src/core/diagnostics.ts
@@ -1,18 +1,18 @@
 /**
- * Every diagnostic that the program prints about a user's text comes from the
- * one numbered table here. Numbers are stable: never reuse one.
+ * All diagnostics about texts written by users, in one numbered table. Codes are
+ * stable: never reuse one.
  */
 
 export type DiagnosticCategory = 'error' | 'warning';
 
-/** An entry of the table; `{0}` and so on stand for arguments. */
+/** An entry of the table; `{0}`, `{1}`, ... are replaced by arguments. */
 export interface DiagnosticMessage {
   readonly code: number;
   readonly category: DiagnosticCategory;
   readonly text: string;
 }
 
-/** A place in a text. Lines and columns count from 1. */
+/** A position in a text. Lines and columns are counted from 1. */
 export interface SourcePosition {
   readonly file: string;
   readonly line: number;
@@ -31,7 +31,7 @@
   text,
 });
 
-/** The table. 1xxx: YAML; 2xxx: shape; 3xxx: cross checks; 4xxx: scenarios. */
+/** 1xxx: YAML; 2xxx: schema; 3xxx: cross checks; 4xxx: scenarios. */
 export const diagnosticMessages = {
   yamlSyntax: error(1001, 'The YAML is not well formed: {0}'),
   yamlDuplicateKey: error(1002, "The key '{0}' is written twice."),
@@ -126,25 +126,25 @@
   };
 }
 
-/** `CB2004`, as users look it up. */
+/** Formats a code as shown to users, such as `CB2004`. */
 export function formatCode(code: number): string {
   return `CB${String(code).padStart(CODE_DIGITS, '0')}`;
 }
 
-/** One line, `file(line,column): error CBnnnn: message`. */
+/** Formats one line, `file(line,column): error CBnnnn: message`. */
 export function formatDiagnostic(diagnostic: Diagnostic): string {
   const {file, line, column, category, code, message} = diagnostic;
   return `${file}(${line},${column}): ${category} ${formatCode(code)}: ${message}`;
 }
 
-/** One diagnostic a line, in the order of files, lines and columns. */
+/** Formats one diagnostic per line, sorted by file, line and column. */
 export function formatDiagnostics(diagnostics: readonly Diagnostic[]): string {
   return sortDiagnostics(diagnostics)
     .map(diagnostic => `${formatDiagnostic(diagnostic)}\n`)
     .join('');
 }
 
-/** In the order of the text, without repeats. */
+/** Sorts diagnostics by position and removes duplicates. */
 export function sortDiagnostics(
   diagnostics: readonly Diagnostic[],
 ): readonly Diagnostic[] {
--- a/src/core/did_you_mean.ts
+++ b/src/core/did_you_mean.ts
@@ -1,15 +1,15 @@
-/** Suggestions for a mistyped word. */
+/** Suggestions for misspelled words. */
 
 import {closest, distance} from 'fastest-levenshtein';
 
-/** A suggestion may differ in this share of its letters. */
-const MAX_SHARE = 0.4;
-/** Two letters changed places are two edits, too many for a short word. */
+/** Maximum edits of a suggestion as a share of its length. */
+const MAX_EDIT_SHARE = 0.4;
+/** Swapped letters count as two edits, too many for words up to this length. */
 const SHORT_LENGTH = 3;
-/** Longer words are not compared, to bound the cost of a hostile text. */
+/** Longer words are not compared, to bound the cost for hostile texts. */
 const MAX_LENGTH = 64;
 
-/** The word of `known` that was likely meant, if one is near enough. */
+/** Returns the word of `known` closest to `word`, if it is close enough. */
 export function findNearest(
   word: string,
   known: readonly string[],
@@ -17,14 +17,14 @@
   if (known.length === 0 || word.length > MAX_LENGTH) return undefined;
   const nearest = closest(word.toLowerCase(), known);
   const edits = distance(word.toLowerCase(), nearest.toLowerCase());
-  const bound = Math.max(
+  const maxEdits = Math.max(
     nearest.length > SHORT_LENGTH ? 2 : 1,
-    Math.floor(nearest.length * MAX_SHARE),
+    Math.floor(nearest.length * MAX_EDIT_SHARE),
   );
-  return edits <= bound ? nearest : undefined;
+  return edits <= maxEdits ? nearest : undefined;
 }
 
-/** ` Did you mean 'x'?`, or nothing. */
+/** Returns ` Did you mean 'x'?`, or an empty text without a suggestion. */
 export function formatSuggestion(
   word: string,
   known: readonly string[],
--- a/src/core/error_kinds.ts
+++ b/src/core/error_kinds.ts
@@ -1,9 +1,9 @@
 /**
- * The closed list of error kinds that a caller can meet, and the table from
- * kind to answer. Numbers are stable: never reuse one.
+ * All kinds of errors returned to callers, with the answer for each kind. Codes
+ * are stable: never reuse one.
  */
 
-/** Whether the refused or failed request was run at an upstream. */
+/** Whether an upstream ran the refused or failed request. */
 export type RunState = 'not-run' | 'may-have-run' | 'ran';
 
 export interface ErrorAnswer {
@@ -11,7 +11,7 @@
   readonly status: number;
   readonly runState: RunState;
   readonly title: string;
-  /** Whether asking again later may help. */
+  /** Whether a later retry may succeed. */
   readonly retryable: boolean;
 }
 
@@ -214,16 +214,16 @@
   },
 } as const satisfies Readonly<Record<string, ErrorAnswer>>;
 
-/** The closed list. */
+/** A kind of error. */
 export type ErrorKind = keyof typeof answers;
 
-/** From kind to answer. */
+/** The answer for each error kind. */
 export const errorAnswers: Readonly<Record<ErrorKind, ErrorAnswer>> = answers;
 
-/** A refusal or failure on its way to the caller. */
+/** A refusal or failure to be returned to the caller. */
 export interface RequestError {
   readonly kind: ErrorKind;
-  /** One short sentence for the caller; no secret, no address. */
+  /** A short sentence for the caller, without secrets or addresses. */
   readonly detail: string;
   readonly retryAfterMs?: number;
 }
--- a/src/core/hash_text.ts
+++ b/src/core/hash_text.ts
@@ -1,10 +1,10 @@
-/** Hashes of texts that are the same on all hosts. */
+/** Hashes of texts that are identical on all hosts. */
 
-/** Start and factor of FNV-1a with 32 bits. */
+/** Offset basis and prime of 32-bit FNV-1a. */
 export const FNV_OFFSET = 0x811c9dc5;
 export const FNV_PRIME = 0x01000193;
 
-/** 32-bit FNV-1a of the text's UTF-16 units. */
+/** Returns the 32-bit FNV-1a hash of the text's UTF-16 code units. */
 export function hashFnv1a(text: string): number {
   let hash = FNV_OFFSET;
   for (let i = 0; i < text.length; i++) {
@@ -13,7 +13,7 @@
   return hash >>> 0;
 }
 
-/** 32-bit FNV-1a with a final mix, for buckets, ranks and digests. */
+/** Returns 32-bit FNV-1a with a finalizer, for buckets, ranks and digests. */
 export function hashText(text: string): number {
   let hash = hashFnv1a(text);
   hash = Math.imul(hash ^ (hash >>> 16), 0x85ebca6b);
--- a/src/core/hop_headers.ts
+++ b/src/core/hop_headers.ts
@@ -1,4 +1,4 @@
-/** Headers that belong to one connection, not to the call (RFC 9110, 7.6.1). */
+/** Hop-by-hop headers, which are not forwarded (RFC 9110, 7.6.1). */
 export const hopHeaders: ReadonlySet<string> = new Set([
   'connection',
   'content-length',
--- a/src/core/prompt_tokens.ts
+++ b/src/core/prompt_tokens.ts
@@ -1,8 +1,8 @@
 /**
- * Prompts as token numbers, and hashes of their prefixes.
+ * Splits prompts into tokens and hashes their prefixes.
  *
- * The router needs counts and prefix hashes, not a model's own vocabulary: a
- * token here is one word with the white space before it.
+ * The router only needs token counts and prefix hashes, not a model's
+ * vocabulary, so a token is one word with its preceding white space.
  */
 
 import {FNV_OFFSET, FNV_PRIME, hashFnv1a} from './hash_text.js';
@@ -12,14 +12,14 @@
 /** Tokens in one block of the prefix cache. */
 export const BLOCK_TOKENS = 16;
 
-/** One number a word. */
+/** Returns one number per word. */
 export function tokenizePrompt(text: string): readonly number[] {
   return (text.match(WORD) ?? []).map(hashFnv1a);
 }
 
 /**
- * A hash for each whole block of the prompt; each covers the prompt up to the
- * block's end, so equal hashes mean equal prefixes. At most `maxBlocks`.
+ * Returns a hash for each complete block, up to `maxBlocks`. A hash covers the
+ * prompt up to the end of its block, so equal hashes mean equal prefixes.
  */
 export function hashPrefixes(
   tokens: readonly number[],
--- a/src/core/routing_types.ts
+++ b/src/core/routing_types.ts
@@ -1,12 +1,12 @@
-/** Routes, services and client accounts as the operator configures them. */
+/** Configuration of routes, services and client accounts. */
 
-/** What may be done again when the outcome of a send is not known. */
+/** Determines whether a request is retried after an unknown outcome. */
 export type RouteKind = 'idempotent' | 'non-idempotent' | 'stream';
 
-/** A service that a route leads to, and its share of the route's requests. */
+/** A target service of a route and its share of the route's requests. */
 export interface RouteTarget {
   readonly service: string;
-  /** Relative to the other targets of the route. */
+  /** Weight relative to the other targets of the route. */
   readonly weight: number;
 }
 
@@ -17,45 +17,45 @@
   readonly prefix: string;
   readonly kind: RouteKind;
   readonly targets: readonly RouteTarget[];
-  /** Most upstreams that may run one request. */
+  /** Maximum number of upstreams that may run one request. */
   readonly maxAttempts: number;
-  /** Longest time that a caller is kept waiting for the end. */
+  /** Maximum time until the end of the answer. */
   readonly timeoutMs: number;
-  /** An answer (a stream: its first event) is on time up to here. */
+  /** Target time of an answer, or of the first event of a stream. */
   readonly goalMs: number;
-  /** Longest pause between events of a stream that is on time. */
+  /** Target for the longest pause between events of a stream. */
   readonly gapGoalMs: number;
-  /** Rank among the routes of a service; 0 is the most urgent. */
+  /** Priority among the routes of a service; 0 is the most urgent. */
   readonly priority: number;
-  /** A stream may go on at another engine after its last whole event. */
+  /** A stream may be resumed by another engine after its last full event. */
   readonly isResumable: boolean;
-  /** No key is asked for. */
+  /** Requests need no key. */
   readonly isPublic: boolean;
 }
 
-/** What the engines of a model service have in common. */
+/** Properties common to all engines of a model service. */
 export interface EngineTraits {
   readonly slots: number;
   /** KV cache of one engine, in tokens. */
   readonly kvTokens: number;
-  /** Tokens that one event of a stream carries. */
+  /** Number of tokens in one event of a stream. */
   readonly tokensPerEvent: number;
-  /** A prefill result is dropped this long after it was made. */
+  /** Lifetime of a prefill result. */
   readonly prefillLifeMs: number;
-  /** A change of role takes an engine away for this long. */
+  /** Time during which a role change makes an engine unavailable. */
   readonly roleChangeMs: number;
 }
 
 export interface Service {
   readonly name: string;
   readonly healthPath: string;
-  /** Connections that one upstream accepts from all callers together. */
+  /** Total connections that one upstream accepts. */
   readonly maxConnections: number;
-  /** Present where the upstreams are model engines. */
+  /** Present if the upstreams are model engines. */
   readonly engine?: EngineTraits;
 }
 
-/** Bounds on what a caller sends. */
+/** Limits for requests of callers. */
 export interface CallerLimits {
   readonly maxHeaderBytes: number;
   readonly maxBodyBytes: number;
@@ -63,35 +63,35 @@
   readonly idleTimeoutMs: number;
 }
 
-/** What the rate limit of an account counts. */
+/** Unit of an account's rate limit. */
 export type QuotaUnit = 'requests' | 'tokens';
 
-/** A token bucket that all hosts share. */
+/** A token bucket shared by all hosts. */
 export interface AccountQuota {
   readonly unit: QuotaUnit;
-  /** Units that the bucket gains in a second. */
+  /** Refill rate of the bucket in units per second. */
   readonly unitsPerS: number;
-  /** Units that a full bucket holds. */
+  /** Capacity of the bucket in units. */
   readonly burstUnits: number;
-  /** Cost of a request that does not say how many tokens it takes. */
+  /** Cost of a request without a token count. */
   readonly tokensOfPlainRequest: number;
 }
 
 export interface ClientAccount {
   readonly name: string;
   readonly keyDigests: readonly string[];
-  /** Goes before the priority of the route; 0 is the most urgent. */
+  /** Takes precedence over the priority of the route; 0 is the most urgent. */
   readonly priority?: number;
-  /** Absent where nothing limits the account. */
+  /** Absent if the account is not limited. */
   readonly quota?: AccountQuota;
 }
 
-/** One version of the whole configuration. Versions only grow. */
+/** One version of the configuration. Versions only increase. */
 export interface Routing {
   readonly version: number;
   readonly routes: readonly Route[];
   readonly services: readonly Service[];
   readonly limits: CallerLimits;
-  /** Without any, no key is asked for. */
+  /** If empty, requests need no key. */
   readonly accounts: readonly ClientAccount[];
 }
--- a/src/core/seeded_random.ts
+++ b/src/core/seeded_random.ts
@@ -1,4 +1,4 @@
-/** Seeded random numbers on top of pure-rand's xoroshiro128+. */
+/** Seeded random numbers by xoroshiro128+ of pure-rand. */
 
 import {xoroshiro128plus} from 'pure-rand/generator/xoroshiro128plus';
 import type {Random} from '../ports/random.js';
--- a/src/core/settings_checks.ts
+++ b/src/core/settings_checks.ts
@@ -1,4 +1,4 @@
-/** Checks that reach across the settings: names that must exist, be unique. */
+/** Checks across the settings, such as references and unique names. */
 
 import {
   createDiagnostic,
@@ -12,7 +12,7 @@
 
 type ServiceFile = SettingsFile['services'][number];
 
-/** What a check is given; `report` places a message at a path. */
+/** Input of a check; `report` adds a diagnostic at a path. */
 interface CheckContext {
   readonly settings: SettingsFile;
   readonly site: string;
@@ -27,7 +27,7 @@
 const checks: ReadonlyArray<(context: CheckContext) => void> = [
   checkSite,
   checkDuplicateNames,
-  checkUpstreamPlaces,
+  checkUpstreamDomains,
   checkUpstreamRoles,
   checkTargets,
   checkServiceSites,
@@ -38,7 +38,7 @@
   checkCoordination,
 ];
 
-/** All mistakes across the settings, as seen from one site. */
+/** Returns the diagnostics of all checks for one site. */
 export function checkSettings(
   settings: SettingsFile,
   root: LocatedMap,
@@ -67,7 +67,7 @@
 
 function checkDuplicateNames(context: CheckContext): void {
   const {settings} = context;
-  const named = (list: 'sites' | 'services' | 'accounts') =>
+  const getNamedPaths = (list: 'sites' | 'services' | 'accounts') =>
     settings[list].map((item, index) => ({
       name: item.name,
       path: [list, index, 'name'],
@@ -78,10 +78,10 @@
       path: ['services', i, 'upstreams', j, 'id'],
     })),
   );
-  reportRepeats(context, 'site', named('sites'));
-  reportRepeats(context, 'service', named('services'));
-  reportRepeats(context, 'account', named('accounts'));
-  reportRepeats(context, 'upstream', upstreams);
+  reportDuplicates(context, 'site', getNamedPaths('sites'));
+  reportDuplicates(context, 'service', getNamedPaths('services'));
+  reportDuplicates(context, 'account', getNamedPaths('accounts'));
+  reportDuplicates(context, 'upstream', upstreams);
 }
 
 interface NamedPath {
@@ -89,7 +89,7 @@
   readonly path: readonly PathPart[];
 }
 
-function reportRepeats(
+function reportDuplicates(
   context: CheckContext,
   what: string,
   items: readonly NamedPath[],
@@ -109,12 +109,12 @@
   );
 }
 
-/** True when the service runs in the site. */
+/** Whether the service runs in the site. */
 export function isServiceOfSite(service: ServiceFile, site: string): boolean {
   return service.sites === undefined || service.sites.includes(site);
 }
 
-function checkUpstreamPlaces(context: CheckContext): void {
+function checkUpstreamDomains(context: CheckContext): void {
   const {settings, site, report} = context;
   const domains = getDomains(context);
   if (domains.length === 0) return;
@@ -210,7 +210,7 @@
   });
 }
 
-/** A key that two accounts share would bill one for the other. */
+/** A key shared by two accounts would charge one for the other's requests. */
 function checkSharedKeys({settings, report}: CheckContext): void {
   const owners = new Map<string, string>();
   settings.accounts.forEach((account, i) => {
--- a/src/core/settings_document.ts
+++ b/src/core/settings_document.ts
@@ -1,7 +1,7 @@
 /**
- * The stored configuration: one YAML text that carries the base and every
- * site's overlay as they were written, so that one revision is one change for
- * all sites and a mistake still shows the operator's own file and line.
+ * The stored configuration: one YAML text with the base and the overlay of each
+ * site as written by the operator. One revision changes all sites together, and
+ * diagnostics refer to the operator's own files and lines.
  */
 
 import {stringify} from 'yaml';
@@ -30,10 +30,10 @@
 const FORMAT = 1;
 const STORED_NAME = 'stored configuration';
 
-/** Base and overlays of one revision. */
+/** The base and the overlays of one revision. */
 export interface SettingsDocument {
   readonly base: SourceText;
-  /** Overlay texts by the site's name. */
+  /** Overlay texts by site name. */
   readonly overlays: ReadonlyMap<string, SourceText>;
 }
 
@@ -52,7 +52,7 @@
     .default([]),
 });
 
-/** The text that `config apply` stores. */
+/** Formats the text stored by `config apply`. */
 export function formatSettingsDocument(document: SettingsDocument): string {
   const sites = [...document.overlays]
     .sort(([a], [b]) => (a < b ? -1 : 1))
@@ -64,7 +64,7 @@
   );
 }
 
-/** Reads a stored text back; its parts are not checked yet. */
+/** Parses a stored text without checking the settings in it. */
 export function parseSettingsDocument(body: string): SettingsDocumentResult {
   const read = readLocatedYaml({file: STORED_NAME, text: body});
   if (!read.root) return {diagnostics: read.diagnostics};
@@ -88,7 +88,7 @@
   return {document: {base, overlays}, diagnostics};
 }
 
-/** Settings of one site from base and overlays. */
+/** Reads the settings of one site from the base and its overlay. */
 export function readSiteSettings(
   document: SettingsDocument,
   site: string,
@@ -103,13 +103,13 @@
   });
 }
 
-/** Settings of one site from a stored text. */
+/** Reads the settings of one site from a stored text. */
 export function readStoredSettings(body: string, site: string): SettingsResult {
   const {document, diagnostics} = parseSettingsDocument(body);
   return document ? readSiteSettings(document, site) : {diagnostics};
 }
 
-/** All mistakes of all sites; what `config check` and `config apply` ask. */
+/** Checks all sites, for `config check` and `config apply`. */
 export function checkSettingsDocument(
   document: SettingsDocument,
 ): readonly Diagnostic[] {
--- a/src/core/settings_issues.ts
+++ b/src/core/settings_issues.ts
@@ -1,4 +1,4 @@
-/** The schema library's issues as numbered diagnostics at their place. */
+/** Converts issues of the schema library to diagnostics with positions. */
 
 import {z} from 'zod';
 import {
@@ -25,7 +25,7 @@
   readonly path: readonly PathPart[];
 }
 
-/** Checks a tree against a schema; all mistakes at once. */
+/** Checks data against a schema and reports all problems. */
 export function checkShape<T>(
   root: LocatedMap,
   data: unknown,
@@ -93,7 +93,7 @@
   context: IssueContext,
 ): Diagnostic {
   const position = locateValue(context.root, context.path);
-  const shown = describeShown(found, context.path);
+  const shown = describeFoundValue(found, context.path);
   switch (issue.code) {
     case 'invalid_type':
       return createDiagnostic(
@@ -131,8 +131,11 @@
   }
 }
 
-/** A secret that was written wrongly must not reach a terminal or a log. */
-function describeShown(found: LocatedNode, path: readonly PathPart[]): string {
+/** Describes a found value; invalid secrets must not be printed or logged. */
+function describeFoundValue(
+  found: LocatedNode,
+  path: readonly PathPart[],
+): string {
   const isSecret = SECRET_NAME.test(String(path[path.length - 1]));
   return isSecret ? 'another value' : describeNode(found);
 }
@@ -157,7 +160,7 @@
       length,
     );
   }
-  // Texts with a least length are secrets: their value is never shown.
+  // Texts with a minimum length are secrets, so their value is not shown.
   const shown =
     issue.origin === 'string' ? 'a shorter text' : describeNode(found);
   return createDiagnostic(
@@ -168,7 +171,7 @@
   );
 }
 
-const TYPE_WORDS: Readonly<Record<string, string>> = {
+const TYPE_DESCRIPTIONS: Readonly<Record<string, string>> = {
   array: 'a list',
   object: 'a mapping',
   string: 'a text',
@@ -180,9 +183,9 @@
 function describeExpected(issue: Issue): string {
   switch (issue.code) {
     case 'invalid_type':
-      return TYPE_WORDS[issue.expected] ?? issue.expected;
+      return TYPE_DESCRIPTIONS[issue.expected] ?? issue.expected;
     case 'too_small':
-      return describeLeast(issue);
+      return describeMinimum(issue);
     case 'too_big':
       return `${issue.inclusive ? 'at most' : 'less than'} ${issue.maximum}`;
     case 'invalid_value':
@@ -193,9 +196,11 @@
   }
 }
 
-function describeLeast(issue: Extract<Issue, {code: 'too_small'}>): string {
-  const least = `${issue.inclusive ? 'at least' : 'more than'} ${issue.minimum}`;
-  return issue.origin === 'string' ? `a text of ${least} characters` : least;
+function describeMinimum(issue: Extract<Issue, {code: 'too_small'}>): string {
+  const minimum = `${issue.inclusive ? 'at least' : 'more than'} ${issue.minimum}`;
+  return issue.origin === 'string'
+    ? `a text of ${minimum} characters`
+    : minimum;
 }
 
 function getChoices(issue: Issue): readonly string[] {
@@ -210,7 +215,7 @@
   return nearest === undefined ? '' : ` Did you mean '${nearest}'?`;
 }
 
-/** Keys that the schema knows at a path. */
+/** Returns the keys that the schema allows at a path. */
 function getKnownKeys(context: IssueContext): readonly string[] {
   let schema: unknown = context.schema;
   let node: LocatedNode | undefined = context.root;
@@ -225,7 +230,7 @@
   return last instanceof z.ZodObject ? Object.keys(last.shape) : [];
 }
 
-/** Strips defaults and options, and picks the member of a union. */
+/** Unwraps defaults and optionals, and selects the member of a union. */
 function getObjectSchema(
   schema: unknown,
   node: LocatedNode | undefined,
--- a/src/core/settings_merge.ts
+++ b/src/core/settings_merge.ts
@@ -1,7 +1,7 @@
 /**
- * A site's overlay laid over the base. Mappings merge by key, lists of named
- * things merge by name, all else is replaced; `null` removes a key and
- * `remove: true` an item of a named list.
+ * Merges a site's overlay into the base. Mappings are merged by key and lists of
+ * named items by name; other values are replaced. `null` removes a key and
+ * `remove: true` removes an item of a named list.
  */
 
 import {
@@ -16,7 +16,7 @@
   LocatedNode,
 } from './settings_yaml.js';
 
-/** Keys that name an item of a list. */
+/** Keys that identify an item of a list. */
 const NAME_KEYS: readonly string[] = ['name', 'id'];
 const REMOVE_KEY = 'remove';
 
--- a/src/core/settings_reader.ts
+++ b/src/core/settings_reader.ts
@@ -1,4 +1,4 @@
-/** From texts to settings: read, merge, check. No input or output here. */
+/** Parses, merges and checks settings texts, without input or output. */
 
 import {sortDiagnostics, type Diagnostic} from './diagnostics.js';
 import {checkSettings, isServiceOfSite} from './settings_checks.js';
@@ -28,17 +28,17 @@
   readonly baseFile: string;
   readonly overlayText?: string;
   readonly overlayFile?: string;
-  /** The site whose settings are wanted. */
+  /** The site to read the settings of. */
   readonly site: string;
 }
 
 export interface SettingsResult {
-  /** Absent when there is an error. */
+  /** Absent if there are diagnostics. */
   readonly settings?: Settings;
   readonly diagnostics: readonly Diagnostic[];
 }
 
-/** Settings of one site, or all mistakes in its base and overlay. */
+/** Reads the settings of one site, or returns all diagnostics. */
 export function readSettings(texts: SettingsTexts): SettingsResult {
   const merged = mergeTexts(texts);
   if (!merged.root) return {diagnostics: sortDiagnostics(merged.diagnostics)};
@@ -47,19 +47,19 @@
     toPlainData(merged.root),
     settingsSchema,
   );
-  const crossed = shape.value
+  const crossChecked = shape.value
     ? checkSettings(shape.value, merged.root, texts.site)
     : [];
   const diagnostics = sortDiagnostics([
     ...merged.diagnostics,
     ...shape.diagnostics,
-    ...crossed,
+    ...crossChecked,
   ]);
   if (!shape.value || diagnostics.length > 0) return {diagnostics};
   return {settings: createSettings(shape.value, texts.site), diagnostics};
 }
 
-/** Names of the sites in a base text; empty when it has mistakes. */
+/** Returns the site names in a base text; empty if it is malformed. */
 export function readSiteNames(base: SourceText): readonly string[] {
   const {root} = readLocatedYaml(base);
   const sites = root?.entries.get('sites')?.value;
@@ -119,7 +119,7 @@
   const rest = {...service};
   delete rest.sites;
   if (rest.kind === 'model') return rest;
-  // Plain calls have no tokens: the whole wait is their only target.
+  // Plain calls have no tokens, so the total wait is their only target.
   const {waitMs} = rest.targets;
   return {
     ...rest,
@@ -128,9 +128,9 @@
 }
 
 export interface HostTexts {
-  /** The host file, when there is one. */
+  /** The host file, if there is one. */
   readonly source?: SourceText;
-  /** Values from flags and the environment, over those of the file. */
+  /** Values from flags and the environment, which override the file. */
   readonly overrides?: Readonly<Partial<Record<keyof HostSettings, string>>>;
 }
 
@@ -139,7 +139,7 @@
   readonly diagnostics: readonly Diagnostic[];
 }
 
-/** What a process knows of itself, from its host file and flags. */
+/** Reads the settings of one process from its host file and flags. */
 export function readHostSettings(texts: HostTexts): HostSettingsResult {
   const read = texts.source ? readLocatedYaml(texts.source) : undefined;
   if (read && !read.root) return {diagnostics: read.diagnostics};
--- a/src/core/settings_reference.ts
+++ b/src/core/settings_reference.ts
@@ -1,4 +1,4 @@
-/** The operators' reference of the settings, made from the schema. */
+/** Generates the operators' settings reference from the schema. */
 
 import {z} from 'zod';
 import {hostSchema, settingsSchema} from './settings_schema.js';
@@ -12,18 +12,18 @@
 
 const INTRODUCTION = `# Settings reference
 
-Made from the schema; \`npm run baselines:accept\` writes it again.
+Generated from the schema; \`npm run baselines:accept\` updates it.
 
 The settings are one base file and an overlay for each site, in YAML. An overlay
-has the shape of the base and only what differs at its site:
+has the structure of the base and contains only what differs at its site:
 
-- a mapping merges with the base by key;
-- a list of things with a \`name\` or an \`id\` merges by that name, and
-  \`remove: true\` in an item takes the thing out;
-- any other value or list replaces what the base has;
-- \`null\` takes the key out, so that its default holds again.
+- a mapping is merged with the base by key;
+- a list of items with a \`name\` or an \`id\` is merged by that name, and
+  \`remove: true\` in an item removes it;
+- any other value or list replaces that of the base;
+- \`null\` removes the key, so that its default applies.
 
-\`corianderbend config check\` prints every mistake with file, line and column;
+\`corianderbend config check\` prints every error with file, line and column;
 \`corianderbend config render --site SITE\` shows the merged result. Durations are
 milliseconds (\`…Ms\`), sizes are bytes (\`…Bytes\`).
 `;
@@ -31,10 +31,10 @@
 const HOST_INTRODUCTION = `## The host file
 
 Each process reads its own, with \`corianderbend serve --host-file FILE\`; flags of
-the same names go before it, and the two keys may come from the environment.
+the same names override it, and the two keys may come from the environment.
 `;
 
-/** The whole page. */
+/** Renders the whole page. */
 export function renderSettingsReference(): string {
   const settings = toJsonSchema(settingsSchema);
   const host = toJsonSchema(hostSchema);
@@ -54,7 +54,7 @@
   return z.toJSONSchema(schema, {io: 'input'});
 }
 
-/** A section for each mapping below a schema, in the order of its keys. */
+/** Returns a section for each nested mapping, in the order of the keys. */
 function collectSections(
   schema: JsonSchema,
   path: string,
--- a/src/core/settings_schema.ts
+++ b/src/core/settings_schema.ts
@@ -1,5 +1,5 @@
 /**
- * The shape of the settings files. The descriptions here become the operators'
+ * The schema of the settings files. Its descriptions appear in the operators'
  * settings reference.
  */
 
@@ -22,7 +22,7 @@
 const DAY_MS = 24 * HOUR_MS;
 const MIB_BYTES = 1024 * 1024;
 
-/** True for `ip:port`, with an IPv6 address in brackets. */
+/** Whether a text is `ip:port`, with an IPv6 address in brackets. */
 export function isAddress(text: string): boolean {
   const ipv4 = IPV4_ADDRESS.exec(text);
   if (ipv4) {
@@ -59,10 +59,10 @@
 
 const modelTargets = z.strictObject({
   ttftMs: durationMs(1, DAY_MS).describe(
-    'From the arrival of the request to its first token, for 95 in 100.',
+    'Time to the first token, for 95 % of requests.',
   ),
   tokenIntervalMs: durationMs(1, MINUTE_MS).describe(
-    'Between two tokens, for 95 in 100.',
+    'Time between two tokens, for 95 % of requests.',
   ),
   waitMs: durationMs(1, DAY_MS).describe(
     'Longest wait for the whole answer; a caller may ask for less.',
@@ -76,16 +76,16 @@
 });
 
 const upstreamShape = {
-  id: name.describe('Name of the upstream, unique among all.'),
-  address: address.describe('IP number and port of the upstream.'),
-  failureDomain: name.describe('The failure domain that it stands in.'),
+  id: name.describe('Unique name of the upstream.'),
+  address: address.describe('IP address and port of the upstream.'),
+  failureDomain: name.describe('Failure domain of the upstream.'),
 };
 
 const engineUpstream = z.strictObject({
   ...upstreamShape,
   role: z
     .enum(['prefill', 'decode'])
-    .describe('Which half of a model request the engine runs.'),
+    .describe('Stage of a model request that the engine runs.'),
 });
 
 const plainUpstream = z.strictObject(upstreamShape);
@@ -96,17 +96,17 @@
     .array(name)
     .min(1)
     .optional()
-    .describe('Sites that the service runs in; without it, all sites.'),
+    .describe('Sites that the service runs in; all sites by default.'),
   upstreamsFromHostList: z
     .boolean()
     .default(false)
-    .describe("Take upstreams from the platform's list of hosts."),
+    .describe("Whether upstreams are read from the platform's host list."),
   wasteWeight: share
     .default(0.5)
-    .describe('0: only goodput counts; 1: only wasted prefill counts.'),
+    .describe('0 optimizes goodput only, 1 wasted prefills only.'),
   maxQueued: count(0, 1_000_000)
     .default(1000)
-    .describe('Requests that may wait for an upstream, at each shard home.'),
+    .describe('Limit of requests that wait for an upstream, per shard home.'),
   retryBudget: share
     .default(0.1)
     .describe('Retries allowed, as a share of requests.'),
@@ -120,7 +120,7 @@
   path: z
     .string()
     .regex(CALL_PATH, {error: 'a path that starts with / and may end in *'})
-    .describe('Path of the call; a `*` at its end stands for any rest.'),
+    .describe('Path of the call; a trailing `*` matches any suffix.'),
 });
 
 const modelService = z.strictObject({
@@ -129,10 +129,10 @@
   models: z
     .array(z.string().regex(MODEL_NAME, {error: 'the name of a model'}))
     .min(1)
-    .describe("Names under which callers ask for the service's model."),
+    .describe("Names by which callers request the service's model."),
   enginesCheckFences: z
     .boolean()
-    .describe('Whether the engines refuse orders with an old fencing number.'),
+    .describe('Whether the engines reject orders with an old fencing token.'),
   keepAnswersMs: durationMs(0, 7 * DAY_MS)
     .default(HOUR_MS)
     .describe('How long an answer is kept for a repeat with the same key.'),
@@ -140,7 +140,7 @@
   upstreams: z
     .array(engineUpstream)
     .default([])
-    .describe('The engines, when the settings list them.'),
+    .describe('The engines, if they are listed in the settings.'),
 });
 
 const plainService = z.strictObject({
@@ -149,17 +149,15 @@
   nonRepeatable: z
     .array(callPattern)
     .default([])
-    .describe('Calls that may not be repeated; all others may be.'),
+    .describe('Calls that must not be repeated.'),
   keepAnswersMs: durationMs(MINUTE_MS, 30 * DAY_MS)
     .default(DAY_MS)
-    .describe(
-      'How long the answer to a call that may not be repeated is kept.',
-    ),
+    .describe('How long the answer to a non-repeatable call is kept.'),
   targets: plainTargets.describe('Latency targets.'),
   upstreams: z
     .array(plainUpstream)
     .default([])
-    .describe('The upstreams, when the settings list them.'),
+    .describe('The upstreams, if they are listed in the settings.'),
 });
 
 const account = z.strictObject({
@@ -171,17 +169,19 @@
       }),
     )
     .min(1)
-    .describe('SHA-256 of each caller key; several during a key change.'),
+    .describe('SHA-256 of each caller key; several during a key rotation.'),
   services: z.array(name).min(1).describe('Services that the account may use.'),
   requestsPerSecond: z
     .number()
     .positive()
     .max(1_000_000)
     .default(100)
-    .describe('Limit of requests a second, at each entry.'),
+    .describe('Limit of requests per second, at each entry.'),
   maxConcurrent: count(1, 1_000_000)
     .default(100)
-    .describe('Limit of requests that run or wait at once, at each entry.'),
+    .describe(
+      'Limit of concurrent running or waiting requests, at each entry.',
+    ),
   weight: z
     .number()
     .positive()
@@ -191,7 +191,7 @@
   requestClass: z
     .enum(['interactive', 'patient'])
     .default('interactive')
-    .describe('Whether somebody waits at the screen or comes back later.'),
+    .describe('Whether a user waits for the answer or collects it later.'),
 });
 
 const site = z.strictObject({
@@ -205,25 +205,25 @@
 const limits = z.strictObject({
   maxBodyBytes: count(1024, 1024 * MIB_BYTES)
     .default(4 * MIB_BYTES)
-    .describe('Largest body that an entry takes.'),
+    .describe('Maximum size of a request body.'),
   maxHeaderBytes: count(1024, MIB_BYTES)
     .default(16 * 1024)
-    .describe('Largest head of a request that an entry takes.'),
+    .describe('Maximum size of the request headers.'),
   maxConnections: count(1, 1_000_000)
     .default(4096)
-    .describe('Connections of callers at one entry.'),
+    .describe('Maximum caller connections at one entry.'),
   maxStreams: count(1, 1_000_000)
     .default(1024)
-    .describe('Requests that one entry runs at once.'),
+    .describe('Maximum concurrent requests at one entry.'),
   bodyTimeoutMs: durationMs(100, 10 * MINUTE_MS)
     .default(10 * SECOND_MS)
-    .describe('How long the body of a request may take to arrive.'),
+    .describe('Timeout for receiving a request body.'),
 });
 
 const coordination = z.strictObject({
   leaseMs: durationMs(500, 10 * MINUTE_MS)
     .default(4 * SECOND_MS)
-    .describe('Life of a lease; it bounds the time to take over.'),
+    .describe('Duration of a lease; it bounds the time of a takeover.'),
   clockRateError: z
     .number()
     .min(0)
@@ -232,30 +232,30 @@
     .describe('Bound on the difference of clock rates between hosts.'),
   probeIntervalMs: durationMs(50, MINUTE_MS)
     .default(500)
-    .describe('Between two probes of another process.'),
+    .describe('Interval between two probes of another process.'),
   suspicionMs: durationMs(100, 10 * MINUTE_MS)
     .default(1500)
-    .describe('How long a silent process may still refute its death.'),
+    .describe('How long a suspected process may refute the suspicion.'),
   journalPartitions: count(1, 4096)
     .default(8)
     .describe(
-      'Partitions of idempotency keys; do not change while running. Each has its even part of the journal writes, so many make each call wait longer.',
+      'Partitions of idempotency keys; do not change while running. Journal writes are divided evenly between them, so more partitions make each call wait longer.',
     ),
   journalFlushMs: durationMs(0, SECOND_MS)
     .default(5)
-    .describe('How long a journal write waits for others to join it.'),
+    .describe('How long a journal write waits for others to be batched.'),
   tableWritesPerSecond: count(1, 1_000_000)
     .default(300)
-    .describe('Table writes a second that all processes together may use.'),
+    .describe('Limit of table writes per second for all processes together.'),
   tableReadsPerSecond: count(1, 1_000_000)
     .default(1500)
-    .describe('Table reads a second that all processes together may use.'),
+    .describe('Limit of table reads per second for all processes together.'),
   directoryTtlMs: durationMs(100, HOUR_MS)
     .default(15 * SECOND_MS)
-    .describe('How long a caller may keep a list of entries.'),
+    .describe('How long a caller may cache a list of entries.'),
 });
 
-/** The base file, or the base with an overlay laid over it. */
+/** The base file, or the base merged with an overlay. */
 export const settingsSchema = z.strictObject({
   sites: z.array(site).min(1).describe('Sites, with their failure domains.'),
   services: z
@@ -265,34 +265,34 @@
   accounts: z.array(account).default([]).describe('Client accounts.'),
   limits: limits
     .default(() => limits.parse({}))
-    .describe('What one entry takes from callers.'),
+    .describe('Limits of one entry for its callers.'),
   coordination: coordination
     .default(() => coordination.parse({}))
     .describe('Leases, membership, journal and platform budgets.'),
 });
 
-/** Settings as written, defaults filled in. */
+/** Settings as written, with defaults. */
 export type SettingsFile = z.infer<typeof settingsSchema>;
 
 const secret = z.string().min(MIN_SECRET_LENGTH);
 
-/** The small file from which a process learns who it is. */
+/** The host file, which identifies the host of a process. */
 export const hostSchema = z.strictObject({
-  hostId: name.describe('Name of the host, unique among all.'),
-  site: name.describe('The site that the host stands in.'),
-  failureDomain: name.describe('The failure domain that it stands in.'),
+  hostId: name.describe('Unique name of the host.'),
+  site: name.describe('Site of the host.'),
+  failureDomain: name.describe('Failure domain of the host.'),
   callerAddress: address.describe('Address that callers connect to.'),
   peerAddress: address.describe(
-    'Address for our own processes and for operators, TCP and UDP.',
+    'Address for peer processes and operators, TCP and UDP.',
   ),
   platformUrl: z
     .string()
     .refine(isHttpUrl, {error: 'a URL like http://10.0.0.9:7000'})
     .describe("Base URL of the platform's service."),
   peerKey: secret.describe(
-    'Secret between our own processes; or set CORIANDERBEND_PEER_KEY.',
+    'Secret shared by all processes; or set CORIANDERBEND_PEER_KEY.',
   ),
   operatorKey: secret.describe(
-    'Secret that operators show; or set CORIANDERBEND_OPERATOR_KEY.',
+    'Secret of the operators; or set CORIANDERBEND_OPERATOR_KEY.',
   ),
 });
--- a/src/core/settings_types.ts
+++ b/src/core/settings_types.ts
@@ -1,13 +1,13 @@
 /**
- * The settings in force, after base and site overlay are merged and checked.
- * `settings_schema.ts` makes these from YAML.
+ * Types of the settings after the base and the site overlay are merged and
+ * checked. `settings_schema.ts` defines their YAML schema.
  */
 
-/** Latency targets of a service. All are for 95 in 100 requests. */
+/** Latency targets of a service, for 95 % of requests. */
 export interface LatencyTargets {
-  /** Request in to first token out. Model services only. */
+  /** Time to first token. Model services only. */
   readonly ttftMs: number;
-  /** Between tokens. Model services only. */
+  /** Time between tokens. Model services only. */
   readonly tokenIntervalMs: number;
   /** Longest wait for the whole answer. */
   readonly waitMs: number;
@@ -16,11 +16,11 @@
 interface ServiceBase {
   readonly name: string;
   readonly targets: LatencyTargets;
-  /** Upstreams written in the settings; empty when the host list has them. */
+  /** Upstreams in the settings; empty if they are in the host list. */
   readonly upstreams: readonly UpstreamSettings[];
-  /** Take upstreams from the platform's host list. */
+  /** Whether upstreams are read from the platform's host list. */
   readonly upstreamsFromHostList: boolean;
-  /** 0: only goodput counts; 1: only wasted prefill counts. */
+  /** 0 optimizes goodput only, 1 wasted prefills only. */
   readonly wasteWeight: number;
   readonly maxQueued: number;
   /** Retries allowed as a share of requests. */
@@ -29,17 +29,17 @@
 
 export interface ModelServiceSettings extends ServiceBase {
   readonly kind: 'model';
-  /** Names under which callers ask for this service's model. */
+  /** Names by which callers request this service's model. */
   readonly models: readonly string[];
-  /** Whether the engines refuse orders with an old fencing number. */
+  /** Whether the engines reject orders with an old fencing token. */
   readonly enginesCheckFences: boolean;
-  /** How long a finished answer is kept for a repeat with the same key. */
+  /** How long a completed answer is kept for a repeat with the same key. */
   readonly keepAnswersMs: number;
 }
 
 export interface PlainServiceSettings extends ServiceBase {
   readonly kind: 'plain';
-  /** Calls that may not be repeated; all others may be. */
+  /** Calls that must not be repeated. */
   readonly nonRepeatable: readonly CallPattern[];
   /** How long a journalled answer is kept. */
   readonly keepAnswersMs: number;
@@ -85,7 +85,7 @@
   readonly bodyTimeoutMs: number;
 }
 
-/** Everything a process needs to know beside its own host file. */
+/** All settings of a process except those of its host file. */
 export interface Settings {
   readonly site: string;
   readonly failureDomains: readonly FailureDomainSettings[];
@@ -98,33 +98,33 @@
 
 export interface CoordinationSettings {
   readonly leaseMs: number;
-  /** Bound on the difference of clock rates between hosts, as a share. */
+  /** Bound on the relative difference of clock rates between hosts. */
   readonly clockRateError: number;
   readonly probeIntervalMs: number;
   readonly suspicionMs: number;
   readonly journalPartitions: number;
   readonly journalFlushMs: number;
-  /** Table writes a second that the whole fleet may use. */
+  /** Limit of table writes per second for the whole fleet. */
   readonly tableWritesPerSecond: number;
   readonly tableReadsPerSecond: number;
-  /** How long a caller may keep a list of entries. */
+  /** How long a caller may cache a list of entries. */
   readonly directoryTtlMs: number;
 }
 
-/** What a process learns from its host file or flags. */
+/** Settings of a process from its host file or flags. */
 export interface HostSettings {
   readonly hostId: string;
-  /** The site that the host stands in. */
+  /** Site of the host. */
   readonly site: string;
   readonly failureDomain: string;
-  /** Address callers connect to, `ip:port`. */
+  /** Address for callers, `ip:port`. */
   readonly callerAddress: string;
-  /** Address for our own processes and operators, TCP and UDP, `ip:port`. */
+  /** Address for peers and operators, TCP and UDP, `ip:port`. */
   readonly peerAddress: string;
   /** Base URL of the platform. */
   readonly platformUrl: string;
-  /** Shared secret between our own processes. */
+  /** Secret shared by all processes. */
   readonly peerKey: string;
-  /** Secret that operators show. */
+  /** Secret of the operators. */
   readonly operatorKey: string;
 }
--- a/src/core/settings_yaml.ts
+++ b/src/core/settings_yaml.ts
@@ -1,4 +1,4 @@
-/** YAML text as a tree in which each node knows its place in the text. */
+/** Parses YAML into a tree whose nodes have positions in the text. */
 
 import {
   isAlias,
@@ -17,9 +17,9 @@
   type Diagnostic,
   type SourcePosition,
 } from './diagnostics.js';
-import {findTooDeep, MAX_YAML_DEPTH} from './yaml_depth.js';
+import {findExcessiveDepth, MAX_YAML_DEPTH} from './yaml_depth.js';
 
-/** A text and the name under which diagnostics show it. */
+/** A text and its file name for diagnostics. */
 export interface SourceText {
   readonly file: string;
   readonly text: string;
@@ -53,12 +53,12 @@
 export type LocatedNode = LocatedScalar | LocatedMap | LocatedList;
 
 export interface LocatedResult {
-  /** Absent when the text could not be read as a mapping. */
+  /** Absent if the text is not a valid mapping. */
   readonly root?: LocatedMap;
   readonly diagnostics: readonly Diagnostic[];
 }
 
-/** Bounds the memory that one text can take. */
+/** Bounds the memory used for one text. */
 const MAX_TEXT_CHARS = 8 * 1024 * 1024;
 
 export function readLocatedYaml(source: SourceText): LocatedResult {
@@ -68,11 +68,11 @@
       createDiagnostic(start, diagnosticMessages.yamlTooLarge, MAX_TEXT_CHARS),
     );
   }
-  const tooDeep = findTooDeep(source.text);
-  if (tooDeep) {
+  const excessiveDepth = findExcessiveDepth(source.text);
+  if (excessiveDepth) {
     return failed(
       createDiagnostic(
-        {file: source.file, ...tooDeep},
+        {file: source.file, ...excessiveDepth},
         diagnosticMessages.yamlTooDeep,
         MAX_YAML_DEPTH,
       ),
@@ -222,7 +222,7 @@
   return text.split('\n', 1)[0];
 }
 
-/** The node as plain data. */
+/** Converts a node to plain data. */
 export function toPlainData(node: LocatedNode): unknown {
   switch (node.kind) {
     case 'scalar':
@@ -241,7 +241,7 @@
 
 const MAX_SHOWN_CHARS = 40;
 
-/** What was found, for a diagnostic. */
+/** Describes a node for a diagnostic. */
 export function describeNode(node: LocatedNode): string {
   switch (node.kind) {
     case 'map':
@@ -262,10 +262,10 @@
     : `${text.slice(0, MAX_SHOWN_CHARS)}…`;
 }
 
-/** One step from a node to a child. */
+/** A key or an index of a child node. */
 export type PathPart = string | number;
 
-/** The node at a path, or undefined. */
+/** Returns the node at a path, or undefined. */
 export function findNode(
   root: LocatedNode,
   path: readonly PathPart[],
@@ -279,7 +279,7 @@
   return node;
 }
 
-/** Where the value at a path stands, or else its nearest ancestor. */
+/** Returns the position of the value at a path or its nearest ancestor. */
 export function locateValue(
   root: LocatedNode,
   path: readonly PathPart[],
@@ -291,7 +291,7 @@
   return root.position;
 }
 
-/** Where the key at the end of a path stands, or else its value. */
+/** Returns the position of the key at the end of a path, or of its value. */
 export function locateKey(
   root: LocatedNode,
   path: readonly PathPart[],
--- a/src/core/shard_map.ts
+++ b/src/core/shard_map.ts
@@ -1,15 +1,15 @@
 /**
- * Cuts the engines of a model service into shards. One process is home to a
- * shard and alone hands out its engines, so a shard needs both roles.
+ * Divides the engines of a model service into shards. One process, the home of
+ * the shard, grants its engines, so a shard needs engines of both roles.
  *
- * Every process works the same map out of the same list of engines; where
- * lists differ for a while, an engine may have two homes, and its own
- * admission is the backstop.
+ * All processes compute the same map from the same list of engines. While their
+ * lists differ, an engine may have two homes; then only the engine's own
+ * admission prevents overload.
  */
 
 import type {EngineRole} from '../ports/engine.js';
 
-/** Engines in a shard; a home's cost grows with it, its choice gets better. */
+/** Engines per shard; more allow better placement but cost the home more. */
 const TARGET_ENGINES = 16;
 
 export interface ShardEngine {
@@ -23,7 +23,7 @@
   /** `service/domain/number`, or `service/all/number` across domains. */
   readonly shardId: string;
   readonly service: string;
-  /** Undefined when the shard spans domains. */
+  /** Undefined if the shard spans failure domains. */
   readonly failureDomain?: string;
   readonly engines: readonly ShardEngine[];
 }
@@ -34,12 +34,12 @@
   return a.engineId < b.engineId ? -1 : a.engineId > b.engineId ? 1 : 0;
 }
 
-function withRole(engines: readonly ShardEngine[], role: EngineRole) {
+function filterByRole(engines: readonly ShardEngine[], role: EngineRole) {
   return engines.filter(engine => engine.role === role);
 }
 
-/** Part `index` of `count` even parts. */
-function sliceOf(
+/** Returns part `index` of `count` even parts. */
+function getSlice(
   engines: readonly ShardEngine[],
   index: number,
   count: number,
@@ -49,34 +49,36 @@
   return engines.slice(from, to);
 }
 
-function cutGroup(
+function splitIntoShards(
   service: string,
   failureDomain: string | undefined,
   engines: readonly ShardEngine[],
 ): readonly Shard[] {
-  const fewest = Math.min(...roles.map(role => withRole(engines, role).length));
-  const wanted = Math.round(engines.length / TARGET_ENGINES);
-  const count = Math.max(1, Math.min(wanted, fewest));
+  const maxShards = Math.min(
+    ...roles.map(role => filterByRole(engines, role).length),
+  );
+  const targetShards = Math.round(engines.length / TARGET_ENGINES);
+  const count = Math.max(1, Math.min(targetShards, maxShards));
   const sorted = [...engines].sort(compareIds);
   return Array.from({length: count}, (_, index) => ({
     shardId: `${service}/${failureDomain ?? 'all'}/${index}`,
     service,
     failureDomain,
     engines: roles.flatMap(role =>
-      sliceOf(withRole(sorted, role), index, count),
+      getSlice(filterByRole(sorted, role), index, count),
     ),
   }));
 }
 
-/** Whether a domain's engines can be shards of their own. */
-function canStandAlone(engines: readonly ShardEngine[]): boolean {
+/** Whether the engines of a domain suffice for their own shards. */
+function canFormOwnShards(engines: readonly ShardEngine[]): boolean {
   return (
     engines.length >= TARGET_ENGINES / 2 &&
-    roles.every(role => withRole(engines, role).length > 0)
+    roles.every(role => filterByRole(engines, role).length > 0)
   );
 }
 
-/** The shards of one service. */
+/** Returns the shards of one service. */
 export function createShardMap(
   service: string,
   engines: readonly ShardEngine[],
@@ -89,8 +91,10 @@
     byDomain.set(engine.failureDomain, group);
   }
   const groups = [...byDomain.entries()].sort(([a], [b]) => (a < b ? -1 : 1));
-  if (!groups.every(([, group]) => canStandAlone(group))) {
-    return cutGroup(service, undefined, engines);
+  if (!groups.every(([, group]) => canFormOwnShards(group))) {
+    return splitIntoShards(service, undefined, engines);
   }
-  return groups.flatMap(([domain, group]) => cutGroup(service, domain, group));
+  return groups.flatMap(([domain, group]) =>
+    splitIntoShards(service, domain, group),
+  );
 }
--- a/src/core/store_revision.ts
+++ b/src/core/store_revision.ts
@@ -1,26 +1,25 @@
-/** Moments of the platform's store, in the order in which they came to be. */
+/** Ordered revisions and times of the platform's store. */
 
 /**
- * A number of the store's counter. A store that comes back from an older copy
- * gives numbers out again, in an era of their own: a number says nothing
- * without its era.
+ * A value of the store's counter. A store restored from an older copy reuses
+ * counter values in a new era, so values are only comparable with their era.
  */
 export interface StoreRevision {
-  /** How often the store has come back; 0 where it does not tell. */
+  /** Number of restores of the store; 0 if it does not report them. */
   readonly era: number;
   readonly counter: number;
 }
 
-/** A time of the store's own steady clock, which an era may set back. */
+/** A time of the store's monotonic clock, which a new era may reset. */
 export interface StoreMoment {
   readonly era: number;
   readonly storeMs: number;
 }
 
-/** Before all that a store tells. */
+/** The revision before all revisions of a store. */
 export const NO_REVISION: StoreRevision = {era: 0, counter: 0};
 
-/** Below 0 if `a` is the older one, 0 if they are the same. */
+/** Returns a negative number if `a` is older, and 0 if they are equal. */
 export function compareRevisions(a: StoreRevision, b: StoreRevision): number {
   return a.era - b.era || a.counter - b.counter;
 }
@@ -29,12 +28,12 @@
   return compareRevisions(a, b) > 0;
 }
 
-/** Whether `a` is later; each moment of an era is later than all before it. */
+/** Whether `a` is later than `b`; a later era is always later. */
 export function isLaterMoment(a: StoreMoment, b: StoreMoment): boolean {
   return (a.era - b.era || a.storeMs - b.storeMs) > 0;
 }
 
-/** For log lines. */
+/** Formats a revision for log lines. */
 export function formatRevision({era, counter}: StoreRevision): string {
   return `${era}.${counter}`;
 }
--- a/src/core/upstream.ts
+++ b/src/core/upstream.ts
@@ -1,39 +1,39 @@
-/** What the platform's list says of engines and plain services. */
+/** Engines and plain services in the platform's list. */
 
 import type {StoreRevision} from './store_revision.js';
 
 export type UpstreamRole = 'prefill' | 'decode';
 
 /**
- * Upstreams of which a host keeps what they said, the latest ones. It outlives
- * their entries, which may lapse and return; an id is never used again.
+ * Maximum number of upstreams whose reported state a host keeps. The state
+ * outlives their list entries, which may expire and return; ids are not reused.
  */
 export const MOST_REMEMBERED = 4_096;
 
-/** One upstream as the list shows it. */
+/** An upstream as it appears in the list. */
 export interface Upstream {
-  /** New with each start of the upstream: names one of its lives. */
+  /** Identifies one run of the upstream; new with each start. */
   readonly id: string;
-  /** What the upstream calls itself; it may keep that over a restart. */
+  /** Name chosen by the upstream, which may stay the same after a restart. */
   readonly name: string;
-  /** Unix time of its start, where upstreams tell. */
+  /** Unix time of its start in ms, if reported. */
   readonly startedAtMs?: number;
   readonly service: string;
-  /** `ip:port`; may be used again by another upstream later. */
+  /** `ip:port`; may later be reused by another upstream. */
   readonly address: string;
   readonly failureDomain: string;
   readonly slots: number;
   readonly isDraining: boolean;
   /**
-   * Changes with each sign of life that the upstream gives the list; with a
-   * change of the era alone it gives none.
+   * Changes with each heartbeat of the upstream. A change of the era alone is
+   * not a heartbeat.
    */
   readonly heartbeat: StoreRevision;
   /** Present for model engines. */
   readonly role?: UpstreamRole;
 }
 
-/** The whole list as of one moment of the store. */
+/** The complete list at one revision of the store. */
 export interface UpstreamSnapshot {
   readonly revision: StoreRevision;
   readonly upstreams: readonly Upstream[];
--- a/src/core/upstream_list.ts
+++ b/src/core/upstream_list.ts
@@ -1,6 +1,6 @@
 /**
- * The upstreams of each service, from the settings and from the platform's
- * list of hosts.
+ * Combines the upstreams of each service from the settings and the platform's
+ * host list.
  */
 
 import type {EngineRole} from '../ports/engine.js';
@@ -48,10 +48,10 @@
 }
 
 /**
- * All upstreams of a site, each once.
+ * Returns all upstreams of a site without duplicates.
  *
- * An upstream written in the settings that the host list shows as leaving
- * leaves: either source is a sign. One that both name keeps the settings' role.
+ * An upstream is leaving if either source marks it as leaving. If both sources
+ * contain it, the role in the settings takes precedence.
  */
 export function createUpstreamList(
   settings: Settings,
--- a/src/core/virtual_clock.ts
+++ b/src/core/virtual_clock.ts
@@ -1,4 +1,4 @@
-/** A clock that moves only when told to; for tests, scenarios and benches. */
+/** A clock that is advanced explicitly, for tests, scenarios and benches. */
 
 import type {Clock, TimerHandle} from '../ports/clock.js';
 
@@ -10,15 +10,15 @@
 }
 
 export interface VirtualClock extends Clock {
-  /** Runs every timer due within `durationMs`, in order of time. */
+  /** Runs all timers due within `durationMs`, in order of time. */
   advance(durationMs: number): Promise<void>;
-  /** As `advance`, without letting promises settle between timers. */
+  /** Like `advance`, but promises do not settle between timers. */
   advanceSync(durationMs: number): void;
-  /** Timers not yet run. */
+  /** Returns the number of pending timers. */
   pendingCount(): number;
 }
 
-/** Lets all promises that can settle now do so. */
+/** Waits until all promises that can settle have settled. */
 async function settle(): Promise<void> {
   await new Promise<void>(resolve => setImmediate(resolve));
 }
--- a/src/core/yaml_depth.ts
+++ b/src/core/yaml_depth.ts
@@ -1,23 +1,23 @@
 /**
- * Finds a YAML text that is nested too deep, before the recursive parser sees
- * it: a short text of brackets or dashes can exhaust the stack and end the
- * process. The lexer is not recursive, so its tokens are safe to count.
+ * Rejects YAML that is nested too deeply before it reaches the recursive parser:
+ * a short text of brackets or dashes can exhaust the stack and end the process.
+ * The lexer is not recursive, so counting its tokens is safe.
  */
 
 import {CST, Lexer} from 'yaml';
 
-/** Collections in collections, on one line or by brackets. */
+/** Maximum depth of nested collections, on one line or in brackets. */
 export const MAX_YAML_DEPTH = 64;
-/** An indent beyond this could hide as many levels. */
+/** Maximum indent, since each level may be indented by several spaces. */
 const MAX_INDENT = 4 * MAX_YAML_DEPTH;
 
-export interface TextPlace {
+export interface TextPosition {
   readonly line: number;
   readonly column: number;
 }
 
-/** Where a text first passes the bound, or undefined. */
-export function findTooDeep(text: string): TextPlace | undefined {
+/** Returns the first position that exceeds the maximum depth, if any. */
+export function findExcessiveDepth(text: string): TextPosition | undefined {
   let line = 1;
   let column = 1;
   let flowDepth = 0;
--- a/tests/prompt_tokens_test.ts
+++ b/tests/prompt_tokens_test.ts
@@ -9,7 +9,7 @@
 const words = (count: number, word: string) =>
   Array.from({length: count}, (_, i) => `${word}${i}`).join(' ');
 
-test('prompts that share a beginning share the hashes of its blocks', () => {
+test('prompts with a common prefix share the hashes of its blocks', () => {
   const common = words(BLOCK_TOKENS * 2, 'a');
   const one = hashPrefixes(tokenizePrompt(`${common} ${words(20, 'b')}`), 64);
   const two = hashPrefixes(tokenizePrompt(`${common} ${words(20, 'c')}`), 64);
@@ -18,7 +18,7 @@
   assert.notEqual(one[2], two[2]);
 });
 
-test('a part of a block has no hash, and the count is bounded', () => {
+test('an incomplete block has no hash, and the count is bounded', () => {
   const tokens = tokenizePrompt(words(BLOCK_TOKENS * 10 + 5, 'a'));
   assert.equal(hashPrefixes(tokens, 64).length, 10);
   assert.equal(hashPrefixes(tokens, 4).length, 4);
--- a/tests/settings/settings_diagnostics_test.ts
+++ b/tests/settings/settings_diagnostics_test.ts
@@ -19,7 +19,7 @@
 }
 
 for (const name of names) {
-  test(`settings file with mistakes: ${name}`, async () => {
+  test(`diagnostics of invalid settings: ${name}`, async () => {
     const overlayFile = `${name}${OVERLAY_SUFFIX}`;
     const {settings, diagnostics} = readSettings({
       baseText: readFileSync(path.join(folder, `${name}.yaml`), 'utf8'),
--- a/tests/settings/settings_reader_test.ts
+++ b/tests/settings/settings_reader_test.ts
@@ -37,7 +37,7 @@
 ] as const;
 
 for (const [deployment, site, model, plain] of examples) {
-  test(`the example of ${deployment} has the sizes of today`, () => {
+  test(`the example ${deployment} is valid and has the expected upstreams`, () => {
     const document = readExampleDocument(deployment, site);
     assert.deepEqual(checkSettingsDocument(document), []);
     const stored = formatSettingsDocument(document);
@@ -54,7 +54,7 @@
   });
 }
 
-test('an overlay merges by key and by name, and removes', () => {
+test('an overlay merges by key and name, and removes items', () => {
   const baseText = readExample('tammeoja/base.yaml').text;
   const {settings, diagnostics} = readSettings({
     baseText,
@@ -86,7 +86,7 @@
   );
 });
 
-test('flags go before the host file, and their mistakes name the flag', () => {
+test('flags override the host file, and diagnostics name the flag', () => {
   const source = readExample('tammeoja/hosts/raadi-ruum-1.yaml');
   const keys = {peerKey: 'p'.repeat(16), operatorKey: 'o'.repeat(16)};
   const good = readHostSettings({
@@ -107,7 +107,7 @@
   ]);
 });
 
-test('a secret that is no text is not shown', () => {
+test('diagnostics do not show a secret of the wrong type', () => {
   const {diagnostics} = readHostSettings({
     source: {file: 'host.yaml', text: 'peerKey: 1234567890123456\n'},
   });
@@ -116,7 +116,7 @@
   assert.doesNotMatch(lines, /1234567890/);
 });
 
-/** The same example with pieces of its text moved, cut and doubled. */
+/** Generates an edited example, a text of YAML tokens, or a random text. */
 function arbitraryText(): fc.Arbitrary<string> {
   const text = readExample('tammeoja/base.yaml').text;
   const place = fc.nat({max: text.length});
@@ -171,8 +171,8 @@
   return fc.oneof(edited, yamlish, fc.string({unit: 'binary'}));
 }
 
-test('no text crashes the reader; each mistake has a number and a place', () => {
-  const isPlaced = (line: string) =>
+test('no text crashes the reader, and diagnostics have codes and positions', () => {
+  const hasPosition = (line: string) =>
     /^[^\n]*\(\d+,\d+\): error CB\d{4}: [^\n]+/.test(line);
   fc.assert(
     fc.property(arbitraryText(), arbitraryText(), (baseText, overlayText) => {
@@ -185,13 +185,13 @@
       });
       const lines = result.diagnostics.map(formatDiagnostic);
       assert.equal(result.settings === undefined, lines.length > 0);
-      assert.ok(lines.every(isPlaced), lines.join('\n'));
+      assert.ok(lines.every(hasPosition), lines.join('\n'));
     }),
     {seed: FUZZ_SEED, numRuns: FUZZ_RUNS},
   );
 });
 
-test('a text nested past the bound is refused, not run out of stack', () => {
+test('a text nested too deeply is rejected without a stack overflow', () => {
   const texts = [
     ...['[', '- ', '? ', '{a: ', 'a: ['].map(part => part.repeat(100_000)),
     Array.from({length: 300}, (_, i) => `${' '.repeat(i)}a:`).join('\n'),
--- a/tests/shard_map_test.ts
+++ b/tests/shard_map_test.ts
@@ -14,7 +14,7 @@
   }));
 }
 
-test('thirteen engines in four domains are one shard', () => {
+test('thirteen engines in four domains form one shard', () => {
   const shards = createShardMap('aruande-koostaja', createEngines(13, 4));
   assert.deepEqual(
     shards.map(shard => [shard.shardId, shard.engines.length]),
@@ -22,7 +22,7 @@
   );
 });
 
-test('at full size each engine is in one shard, and each shard has both roles', () => {
+test('each of 2,400 engines is in one shard, and each shard has both roles', () => {
   const engines = createEngines(2400, 12);
   const shards = createShardMap('brief-llm', engines);
   const seen = shards.flatMap(shard =>
@@ -37,17 +37,17 @@
   }
 });
 
-test('one more engine moves few of the others', () => {
+test('adding one engine moves at most 1 % of the others', () => {
   const engines = createEngines(2400, 12);
-  const homeOf = (list: readonly ShardEngine[]) =>
+  const getShardIds = (list: readonly ShardEngine[]) =>
     new Map(
       createShardMap('brief-llm', list).flatMap(shard =>
         shard.engines.map(engine => [engine.engineId, shard.shardId] as const),
       ),
     );
-  const before = homeOf(engines);
+  const before = getShardIds(engines);
   const extra: ShardEngine = {...engines[0], engineId: 'engine-00000a'};
-  const after = homeOf([...engines, extra]);
+  const after = getShardIds([...engines, extra]);
   const moved = engines.filter(
     ({engineId}) => before.get(engineId) !== after.get(engineId),
   );
--- a/tests/virtual_clock_test.ts
+++ b/tests/virtual_clock_test.ts
@@ -2,7 +2,7 @@
 import {test} from 'node:test';
 import {createVirtualClock} from '../src/core/virtual_clock.js';
 
-test('timers run in order of time and, at one time, in order of setting', () => {
+test('timers run in order of time, and of creation at the same time', () => {
   const clock = createVirtualClock();
   const seen: string[] = [];
   clock.setTimer(20, () => seen.push('late'));
