--- a/src/coordination/byte_budget.ts
+++ b/src/coordination/byte_budget.ts
@@ -5,7 +5,7 @@
 export interface ByteBudget {
   /** Returns the available bytes; negative after an overdraft. */
   left(): number;
-  mayTake(): boolean;
+  hasCapacity(): boolean;
   take(sizeBytes: number): void;
 }
 
@@ -31,7 +31,7 @@
       refill();
       return tokens;
     },
-    mayTake() {
+    hasCapacity() {
       refill();
       return tokens > 0;
     },
--- a/src/coordination/directory.ts
+++ b/src/coordination/directory.ts
@@ -145,7 +145,7 @@
     }
   }
 
-  const toEntry = (member: Member): RankedEntry => ({
+  const toRankedEntry = (member: Member): RankedEntry => ({
     hostId: member.hostId,
     callerAddress: member.callerAddress,
     failureDomain: member.failureDomain,
@@ -160,7 +160,7 @@
       const members = host.members();
       updateTimes(members);
       const ranked = rankEntries(
-        members.map(toEntry),
+        members.map(toRankedEntry),
         {count: options.count, nowMs: clock.nowMs(), rampMs},
         random,
       );
--- a/src/coordination/facts.ts
+++ b/src/coordination/facts.ts
@@ -87,19 +87,19 @@
     const isOld =
       before && isUnexpired(before) && before.version > fact.version;
     if (isOld) return false;
-    const isNews = !before || before.version < fact.version;
-    if (isNews && known.size >= MAX_FACTS) removeExpired();
-    if (isNews && known.size >= MAX_FACTS) return false;
+    const isUpdate = !before || before.version < fact.version;
+    if (isUpdate && known.size >= MAX_FACTS) removeExpired();
+    if (isUpdate && known.size >= MAX_FACTS) return false;
     const ttlMs = Math.min(fact.ttlMs, MAX_TTL_MS);
     const {key, version, body, isRelayed} = fact;
     const expiresAtMs = Math.max(
       clock.nowMs() + ttlMs,
-      isNews ? 0 : before.expiresAtMs,
+      isUpdate ? 0 : before.expiresAtMs,
     );
     const stored = {key, version, body, fromHostId, isRelayed, expiresAtMs};
     known.set(key, stored);
-    if (isNews) changes.emit(stored);
-    return isNews;
+    if (isUpdate) changes.emit(stored);
+    return isUpdate;
   }
 
   function relay(fact: SentFact): void {
@@ -141,8 +141,8 @@
       const isRelayed = reach === 'relayed';
       const fact = {key, version, body, ttlMs, isRelayed};
       own.set(key, fact);
-      const isNews = store(fact, '');
-      if (isNews && isRelayed) relay(fact);
+      const isUpdate = store(fact, '');
+      if (isUpdate && isRelayed) relay(fact);
     },
     withdraw(key) {
       own.delete(key);
@@ -165,8 +165,8 @@
     takeOwn,
     receive(fact, fromHostId) {
       if (fact.body.length > MAX_BODY_BYTES) return;
-      const isNews = store(fact, fromHostId);
-      if (isNews && fact.isRelayed) relay(fact);
+      const isUpdate = store(fact, fromHostId);
+      if (isUpdate && fact.isRelayed) relay(fact);
     },
   };
 }
--- a/src/coordination/failure_detector.ts
+++ b/src/coordination/failure_detector.ts
@@ -26,7 +26,7 @@
 export interface FailureDetector {
   start(): void;
   stop(): void;
-  acknowledged(hostId: string, sequence: number): void;
+  handleAck(hostId: string, sequence: number): void;
 }
 
 interface Probe {
@@ -237,7 +237,7 @@
       if (tickTimer) clock.clearTimer(tickTimer);
       for (const hostId of [...suspicions.keys()]) clearSuspicion(hostId);
     },
-    acknowledged(hostId, sent) {
+    handleAck(hostId, sent) {
       if (probes.get(sent)?.hostId !== hostId) return;
       probes.delete(sent);
       answeredAtMs.set(hostId, clock.nowMs());
--- a/src/coordination/lease.ts
+++ b/src/coordination/lease.ts
@@ -84,7 +84,7 @@
   heldUntilMs: number;
   expiry: TimerHandle | undefined;
   /** A write to this lease is in progress, so renewals and checks skip it. */
-  isBusy: boolean;
+  isWriting: boolean;
 }
 
 /** Renewals and checks per lease duration; two in a row may fail. */
@@ -148,7 +148,7 @@
     );
     const version = (row?.version ?? 0) + 1;
     const sentAtMs = clock.nowMs();
-    state.isBusy = true;
+    state.isWriting = true;
     const outcome = await table.transactSettled(
       transaction,
       {
@@ -161,7 +161,7 @@
       },
       use,
     );
-    state.isBusy = false;
+    state.isWriting = false;
     if (outcome.kind !== 'applied') return;
     const written = transaction.writes[0];
     if (written.kind !== 'put') return;
@@ -179,7 +179,7 @@
 
   async function renewAll(): Promise<void> {
     const due = [...states.values()].filter(
-      state => isHeldNow(state) && !state.isBusy,
+      state => isHeldNow(state) && !state.isWriting,
     );
     if (due.length === 0 || isRenewing) return;
     isRenewing = true;
@@ -251,7 +251,7 @@
   async function checkLeases(names: readonly string[]): Promise<void> {
     const wanted = names
       .map(name => states.get(name))
-      .filter(state => state && !state.held && !state.isBusy);
+      .filter(state => state && !state.held && !state.isWriting);
     if (wanted.length === 0) return;
     const keys = wanted.map(state => getLeaseKey(state!.name));
     const outcome = await table.read(keys, use);
@@ -268,7 +268,8 @@
     state: LeaseState,
     row: TableRow | undefined,
   ): Promise<void> {
-    if (state.held || state.isBusy || states.get(state.name) !== state) return;
+    if (state.held || state.isWriting || states.get(state.name) !== state)
+      return;
     if (!row) {
       if (state.isWanted) await take(state, undefined);
       return;
@@ -342,7 +343,7 @@
       held: undefined,
       heldUntilMs: 0,
       expiry: undefined,
-      isBusy: false,
+      isWriting: false,
     };
     states.set(name, state);
     return state;
--- a/src/coordination/membership.ts
+++ b/src/coordination/membership.ts
@@ -103,7 +103,7 @@
 const UPDATE_FANOUT = 4;
 /** Collects updates that arrive within this time into one datagram. */
 const UPDATE_DELAY_MS = 20;
-/** Share of a second's budget that must be available for it. */
+/** Share of a second's budget that must be available for immediate updates. */
 const UPDATE_BUDGET_SHARE = 0.4;
 const MAX_PENDING_RELAYS = 256;
 /** Interval of pings to members believed gone, to repair partitions. */
@@ -185,13 +185,13 @@
   });
 
   members.changes.listen(({before, member}) => {
-    const isNews =
+    const isUpdate =
       !before ||
       before.state !== member.state ||
       before.refutation !== member.refutation ||
       before.incarnation !== member.incarnation;
     // All members read the same host list, so its entries are not forwarded.
-    if (!isNews || member.incarnation === 0) return;
+    if (!isUpdate || member.incarnation === 0) return;
     const {hostId} = member;
     const isJoin = member.state === 'alive' && member.refutation === 0;
     const isOwn = hostId === options.hostId;
@@ -212,7 +212,7 @@
    * them; otherwise a mass start would fill every datagram for minutes.
    */
   const isSettled = () =>
-    pages.hasAll() || clock.nowMs() - startedAtMs > SETTLE_MS;
+    pages.isComplete() || clock.nowMs() - startedAtMs > SETTLE_MS;
 
   /** A new host sends its addresses with its record for some time. */
   function getOwnSender(): Member {
@@ -345,7 +345,7 @@
         send(relay.requesterAddress, 'ack', {sequence, sender});
         return;
       }
-      detector.acknowledged(message.sender.hostId, message.sequence);
+      detector.handleAck(message.sender.hostId, message.sequence);
     },
     'ping-request'(fromAddress, message) {
       relaySequence = 2 ** 31 + ((relaySequence + 1) % 2 ** 31);
@@ -358,7 +358,7 @@
     },
     'page-request'(fromAddress, message) {
       // Without an answer the requester times out and asks another member.
-      if (!pageBudget.mayTake()) return;
+      if (!pageBudget.hasCapacity()) return;
       const from = message.cursor ?? '';
       const rest = [...members.running()]
         .filter(member => member.hostId >= from)
@@ -368,7 +368,7 @@
       send(fromAddress, 'page', {cursor: next, members: page});
     },
     page(_fromAddress, message) {
-      pages.received(message.cursor ?? '');
+      pages.handlePage(message.cursor ?? '');
     },
     news() {},
   };
--- a/src/coordination/page_reader.ts
+++ b/src/coordination/page_reader.ts
@@ -15,9 +15,9 @@
 export interface PageReader {
   start(): void;
   /** Handles a page; `next` is the cursor of the next one, empty at the end. */
-  received(next: string): void;
+  handlePage(next: string): void;
   /** Whether all members were read once and none lacks its details. */
-  hasAll(): boolean;
+  isComplete(): boolean;
 }
 
 const PAGE_INTERVAL_MS = 100;
@@ -29,7 +29,7 @@
 export function createPageReader(host: PageReaderHost): PageReader {
   let cursor: string | undefined = '';
   let isFirstPass = true;
-  let hasAll = false;
+  let isComplete = false;
 
   /** Returns the first member at or after `from` that lacks its details. */
   function findIncompleteMember(from: string): string | undefined {
@@ -45,7 +45,7 @@
     if (cursor === undefined) {
       isFirstPass = false;
       cursor = findIncompleteMember('');
-      hasAll ||= cursor === undefined;
+      isComplete ||= cursor === undefined;
       host.schedule(PASS_INTERVAL_MS, () => readNextPage(undefined));
       return;
     }
@@ -61,8 +61,8 @@
     start() {
       host.schedule(PAGE_INTERVAL_MS, () => readNextPage(undefined));
     },
-    hasAll: () => hasAll,
-    received(next) {
+    isComplete: () => isComplete,
+    handlePage(next) {
       if (cursor === undefined || (next !== '' && next <= cursor)) return;
       const isEnd = next === '';
       if (isEnd) cursor = undefined;
--- a/src/coordination/table_client.ts
+++ b/src/coordination/table_client.ts
@@ -158,19 +158,19 @@
     deadlineMs: number,
     call: (timeoutMs: number) => Promise<ReadOutcome<T>>,
   ): Promise<{outcome: ReadOutcome<T>; retryAfterMs: number}> {
-    const closedMs = circuit.admit();
-    if (closedMs > 0) {
+    const circuitWaitMs = circuit.admit();
+    if (circuitWaitMs > 0) {
       const reason = 'The platform is not answering.';
-      return {outcome: {kind: 'failed', reason}, retryAfterMs: closedMs};
+      return {outcome: {kind: 'failed', reason}, retryAfterMs: circuitWaitMs};
     }
-    const waitMs = readBudget.take(use.priority);
-    if (waitMs > 0) {
+    const budgetWaitMs = readBudget.take(use.priority);
+    if (budgetWaitMs > 0) {
       // Otherwise the circuit would wait several seconds for the result of a
       // probe that was never sent.
       circuit.cancelled();
       counts.budgetRefusals++;
       const reason = 'The read budget of this host is used up.';
-      return {outcome: {kind: 'failed', reason}, retryAfterMs: waitMs};
+      return {outcome: {kind: 'failed', reason}, retryAfterMs: budgetWaitMs};
     }
     counts.reads++;
     const outcome = await call(getCallTimeoutMs(deadlineMs));
@@ -198,17 +198,21 @@
     use: TableUse,
     deadlineMs: number,
   ): Promise<WriteOutcome> {
-    const closedMs = circuit.admit();
-    if (closedMs > 0) {
-      return {kind: 'refused', reason: 'unavailable', retryAfterMs: closedMs};
+    const circuitWaitMs = circuit.admit();
+    if (circuitWaitMs > 0) {
+      return {
+        kind: 'refused',
+        reason: 'unavailable',
+        retryAfterMs: circuitWaitMs,
+      };
     }
-    const waitMs = writeBudget.take(use.priority);
-    if (waitMs > 0) {
+    const budgetWaitMs = writeBudget.take(use.priority);
+    if (budgetWaitMs > 0) {
       // Otherwise the circuit would wait several seconds for the result of a
       // probe that was never sent.
       circuit.cancelled();
       counts.budgetRefusals++;
-      return {kind: 'refused', reason: 'budget', retryAfterMs: waitMs};
+      return {kind: 'refused', reason: 'budget', retryAfterMs: budgetWaitMs};
     }
     counts.writes++;
     const outcome = await table.transact(
@@ -283,8 +287,8 @@
         if (clock.nowMs() >= deadlineMs) break;
         outcome = await transactUntil(transaction, use, deadlineMs);
         if (outcome.kind === 'applied') return outcome;
-        // Any other end says nothing of the first send: a rejection may come
-        // from that one having applied. Only the read-back can tell.
+        // Any other outcome does not resolve the first send: it may have been
+        // applied and caused this rejection. Only the read-back shows that.
       }
       return unknown;
     },
