--- a/src/coordination/byte_budget.ts
+++ b/src/coordination/byte_budget.ts
@@ -1,11 +1,11 @@
-/** A token bucket of bytes that may go into debt and then pays it back. */
+/** A token bucket of bytes that may become negative. */
 
 import type {Clock} from '../ports/clock.js';
 
 export interface ByteBudget {
-  /** Negative while in debt. */
+  /** Returns the available bytes; negative after an overdraft. */
   left(): number;
-  mayTake(): boolean;
+  hasCapacity(): boolean;
   take(sizeBytes: number): void;
 }
 
@@ -31,7 +31,7 @@
       refill();
       return tokens;
     },
-    mayTake() {
+    hasCapacity() {
       refill();
       return tokens > 0;
     },
