--- a/src/coordination/configuration_apply.ts
+++ b/src/coordination/configuration_apply.ts
@@ -103,7 +103,7 @@
     case 'refused':
       return {
         kind: 'refused',
-        reason: `The write was refused (${outcome.reason}).`,
+        reason: `The platform did not take the write (${outcome.reason}).`,
         retryAfterMs: outcome.retryAfterMs,
       };
     case 'unknown':
--- a/src/core/request/model_errors.ts
+++ b/src/core/request/model_errors.ts
@@ -48,19 +48,19 @@
   if (state.deliveredTokens > 0) {
     return {
       kind: 'answer-cut',
-      detail: 'The deadline passed while the stream was interrupted.',
+      detail: 'The wait ended while the stream was broken.',
       retryAfterMs,
     };
   }
   return hasModelRun(state)
     ? {
         kind: 'deadline-passed',
-        detail: 'No token was generated before the deadline.',
+        detail: 'No token came within the wait.',
         retryAfterMs,
       }
     : {
         kind: 'deadline-not-run',
-        detail: 'No engine was available before the deadline.',
+        detail: 'No engine was free within the wait.',
         retryAfterMs,
       };
 }
@@ -68,6 +68,6 @@
 export function callerGoneError(state: ModelState): RequestError {
   return {
     kind: hasModelRun(state) ? 'deadline-passed' : 'deadline-not-run',
-    detail: 'The caller closed the connection.',
+    detail: 'The caller hung up.',
   };
 }
--- a/src/core/request/model_machine.ts
+++ b/src/core/request/model_machine.ts
@@ -278,7 +278,7 @@
         kind: 'fail',
         error: finalError(facts, state, {
           kind: 'no-upstream',
-          detail: 'The request was refused by several engines.',
+          detail: 'Several engines refused the request.',
         }),
       });
     }
@@ -293,7 +293,7 @@
       kind: 'fail',
       error: finalError(facts, state, {
         kind: 'no-upstream',
-        detail: 'The engine refused the request, and no retry is allowed now.',
+        detail: 'The engine refused, and no retry is allowed now.',
       }),
     });
   },
--- a/src/core/request/model_runs.ts
+++ b/src/core/request/model_runs.ts
@@ -272,7 +272,7 @@
   }
   const error = finalError(facts, state, {
     kind: refusalKinds[refusal.reason],
-    detail: 'No engine could be reserved before the deadline.',
+    detail: 'No engine could be promised within the wait.',
     retryAfterMs: refusal.retryAfterMs,
   });
   return transitionTo(ended(state), {kind: 'fail', error});
--- a/src/core/request/plain_machine.ts
+++ b/src/core/request/plain_machine.ts
@@ -88,7 +88,7 @@
   return hasRun(state)
     ? {
         kind: 'upstream-failed',
-        detail: 'The call failed on every upstream that was tried.',
+        detail: 'Each upstream that was tried failed.',
         retryAfterMs,
       }
     : {
@@ -101,7 +101,7 @@
 function deadlineError(facts: PlainFacts, state: PlainState): RequestError {
   return {
     kind: hasRun(state) ? 'deadline-passed' : 'deadline-not-run',
-    detail: 'The deadline passed before an answer arrived.',
+    detail: 'The wait ended before an answer came.',
     retryAfterMs: facts.policy.defaultRetryAfterMs,
   };
 }
@@ -200,7 +200,7 @@
     if (state.step === 'ended') return transitionTo(state);
     return giveUp(state, {
       kind: hasRun(state) ? 'deadline-passed' : 'deadline-not-run',
-      detail: 'The caller closed the connection.',
+      detail: 'The caller hung up.',
     });
   },
   deadline(facts, state) {
--- a/src/core/request/single_run_machine.ts
+++ b/src/core/request/single_run_machine.ts
@@ -146,11 +146,11 @@
  * Added to errors of requests whose key could not be looked up. An earlier call
  * with the key may exist, so a retry with a new key could run the call twice.
  */
-const SAME_KEY_HINT = 'Retry with the same key.';
+const SAME_KEY_HINT = 'Ask again with the same key.';
 
 const deadlineNotRun: RequestError = {
   kind: 'deadline-not-run',
-  detail: `The deadline passed before the call was sent. ${SAME_KEY_HINT}`,
+  detail: `The wait ended before the call was sent. ${SAME_KEY_HINT}`,
 };
 
 const unknownOutcome: RequestError = {
@@ -185,7 +185,7 @@
         kind: 'fail',
         error: {
           kind: 'outcome-unknown',
-          detail: 'An earlier call with this key was sent but not answered.',
+          detail: 'An earlier call with this key was sent and never answered.',
         },
       },
     );
@@ -403,7 +403,7 @@
   'caller-gone'(facts, state) {
     return stopWaiting(facts, state, {
       kind: 'deadline-not-run',
-      detail: 'The caller closed the connection before the call was sent.',
+      detail: 'The caller hung up before the call was sent.',
     });
   },
   deadline(facts, state) {
