--- a/src/relay/placement/engine_books.ts
+++ b/src/relay/placement/engine_books.ts
@@ -1,12 +1,12 @@
 /**
- * What is promised of each model engine's memory and time, by this host and,
- * from their announcements, by its peers. Pure bookkeeping.
+ * Tracks the decode memory and prefill work reserved on each engine, by this
+ * host and, from their announcements, by its peers. Does no I/O.
  *
- * Decode memory binds in bursts: a request holds its prompt and all it has
- * generated until its end. A request admitted by its prompt alone makes the
- * engine preempt others later; one admitted by the largest answer it may give
- * leaves memory unused. The books count what a run holds now and what it is
- * forecast to hold at its end.
+ * Decode memory is the bottleneck in bursts: a request holds its prompt and all
+ * its output until it ends. Admitting requests by their prompts alone makes the
+ * engine preempt some of them later; admitting them by their longest possible
+ * output leaves memory unused. So each run counts with what it holds now and
+ * with what it is forecast to hold at its end.
  */
 
 import type {HostLoad} from './host_load.js';
@@ -15,9 +15,9 @@
 /** Use of one decode engine, in tokens of KV cache. */
 export interface DecodeLoad {
   readonly runs: number;
-  /** Held now, with prompts that are on their way. */
+  /** Held now, including prompts that are still being prefilled. */
   readonly tokensNow: number;
-  /** Forecast at the end of the runs. */
+  /** Forecast for the end of the runs. */
   readonly tokensAtEnd: number;
 }
 
@@ -35,7 +35,9 @@
 }
 
 export interface EngineBooks {
-  /** Books a run; it counts from now on, its prompt included. */
+  /**
+   * Reserves memory for a run, which counts from now on with its whole prompt.
+   */
   startRun(run: Omit<DecodeRun, 'outputTokens'>): DecodeRun;
   grow(run: DecodeRun, outputTokens: number): void;
   endRun(run: DecodeRun): void;
@@ -43,26 +45,30 @@
   endPrefill(engineId: string, tokens: number): void;
   decodeLoad(engineId: string): DecodeLoad;
   prefillLoad(engineId: string): PrefillLoad;
-  /** Own promises, for the peers. */
+  /** Load reserved by this host, to announce to the peers. */
   own(): HostLoad;
-  /** All promises, for those that do not hear the others. */
+  /**
+   * Load reserved by all hosts, for hosts that do not receive the announcements
+   * of the others.
+   */
   total(): HostLoad;
   /**
-   * Engines that the last `own()` names, and those that it no longer names:
-   * who uses these has to hear that they are free again.
+   * Engines in the last two results of `own()`. The users of an engine that is
+   * no longer in it must be told that this host has released it.
    */
   usedEngineIds(): readonly string[];
-  /** Replaces what is known of a peer; undefined once it is gone. */
+  /** Replaces the load of a peer; undefined removes it. */
   setPeer(hostId: string, load: HostLoad | undefined): void;
 }
 
 /**
- * Once a run has outgrown its forecast, the rest is taken to be this share of
- * what it has made: lengths spread by about half around the estimate.
+ * Once a run exceeds its forecast, its remaining output is estimated as this
+ * share of its output so far, because output lengths vary by about half around
+ * the estimate.
  */
 const OVERRUN_SHARE = 0.35;
 
-/** Tokens that a run is expected to make still. */
+/** Output tokens that a run is still expected to produce. */
 export function remainingTokens(run: DecodeRun): number {
   const left = run.expectedOutputTokens - run.outputTokens;
   return Math.max(left, run.outputTokens * OVERRUN_SHARE);
@@ -83,10 +89,10 @@
   const runs = new Map<string, Set<DecodeRun>>();
   const prefills = new Map<string, {prompts: number; tokens: number}>();
   const peers = createPeerLoads();
-  let announced: readonly string[] = [];
-  let used: readonly string[] = [];
+  let announcedIds: readonly string[] = [];
+  let usedIds: readonly string[] = [];
 
-  function ownDecode(engineId: string): MutableLoad {
+  function ownDecodeLoad(engineId: string): MutableLoad {
     const load = {runs: 0, now: 0, end: 0};
     for (const run of runs.get(engineId) ?? []) {
       const held = run.promptTokens + run.outputTokens;
@@ -98,7 +104,7 @@
   }
 
   function decodeLoad(engineId: string): DecodeLoad {
-    const load = ownDecode(engineId);
+    const load = ownDecodeLoad(engineId);
     const [count, now, end] = peers.decode(engineId);
     return {
       runs: load.runs + count,
@@ -119,18 +125,18 @@
   return {
     startRun(start) {
       const run: DecodeRun = {...start, outputTokens: 0};
-      const ofEngine = runs.get(run.engineId) ?? new Set();
-      ofEngine.add(run);
-      runs.set(run.engineId, ofEngine);
+      const engineRuns = runs.get(run.engineId) ?? new Set();
+      engineRuns.add(run);
+      runs.set(run.engineId, engineRuns);
       return run;
     },
     grow(run, outputTokens) {
       run.outputTokens = outputTokens;
     },
     endRun(run) {
-      const ofEngine = runs.get(run.engineId);
-      ofEngine?.delete(run);
-      if (ofEngine?.size === 0) runs.delete(run.engineId);
+      const engineRuns = runs.get(run.engineId);
+      engineRuns?.delete(run);
+      if (engineRuns?.size === 0) runs.delete(run.engineId);
     },
     startPrefill(engineId, tokens) {
       const load = prefills.get(engineId) ?? {prompts: 0, tokens: 0};
@@ -167,7 +173,7 @@
     own() {
       const decode: Record<string, readonly [number, number, number]> = {};
       for (const engineId of runs.keys()) {
-        const load = ownDecode(engineId);
+        const load = ownDecodeLoad(engineId);
         decode[engineId] = [
           load.runs,
           Math.round(load.now),
@@ -179,11 +185,11 @@
         prefill[engineId] = [prompts, Math.round(tokens)];
       }
       const named = [...Object.keys(decode), ...Object.keys(prefill)];
-      used = [...new Set([...named, ...announced])];
-      announced = named;
+      usedIds = [...new Set([...named, ...announcedIds])];
+      announcedIds = named;
       return {decode, prefill};
     },
-    usedEngineIds: () => used,
+    usedEngineIds: () => usedIds,
     setPeer: peers.set,
   };
 }
--- a/src/relay/placement/engine_choice.ts
+++ b/src/relay/placement/engine_choice.ts
@@ -1,6 +1,7 @@
 /**
- * Which decode and prefill engine a stream gets now, if any: those of this
- * host's own group by its exact books, else those of others with room to spare.
+ * Chooses the decode and prefill engines that can take a stream now, if any.
+ * Prefers the engines of this host's own group, whose loads it knows exactly,
+ * over engines of other groups that have room to spare.
  */
 
 import type {EngineTraits} from '../../core/routing_types.js';
@@ -25,74 +26,78 @@
   readonly books: EngineBooks;
   readonly candidates: EngineCandidates;
   readonly groups: PlacementGroups;
-  /** How fast a prefill engine reads, as all hosts learned. */
+  /** Prefill speed of an engine, averaged over all hosts. */
   tokensPerMs(): number;
-  /** Requests wait at hosts that use the engine first. */
-  isAwaited(engineId: string): boolean;
+  /** Requests are waiting at hosts that prefer the engine. */
+  hasWaiters(engineId: string): boolean;
 }
 
-/** What a stream needs, and of which service. */
+/** Requirements of a stream, and the service that it needs. */
 export interface ChoiceNeed extends TokenNeed {
   readonly service: {readonly name: string};
 }
 
 export interface ChosenEngines {
   readonly decode: Upstream;
-  /** Absent when the decode engine is to read the prompt. */
+  /** Absent when the decode engine is to prefill the prompt itself. */
   readonly prefill?: Upstream;
 }
 
 export interface EngineChoice {
-  /** For a new request that comes after `ahead` others. */
+  /** Chooses engines for a new request that is behind `ahead` others. */
   choose(
     need: ChoiceNeed,
     traits: EngineTraits,
     ahead: number,
   ): ChosenEngines | undefined;
-  /** For a request under way, however long the prefill engines' backlogs. */
+  /**
+   * Chooses again for a request that has already started, however long the
+   * backlogs of the prefill engines.
+   */
   chooseAgain(
     need: ChoiceNeed,
     traits: EngineTraits,
     avoid: ReadonlySet<string>,
     wantsPrefill: boolean,
   ): ChosenEngines | undefined;
-  /** Another prefill engine for a request under way. */
+  /** Chooses another prefill engine for a request that has already started. */
   choosePrefill(
     service: string,
     decode: Upstream,
     avoid: ReadonlySet<string>,
   ): Upstream | undefined;
   hasDecode(service: string): boolean;
-  /** Runs on the engines that this host's group uses first. */
+  /** Counts the runs on the engines that this host's group prefers. */
   countRuns(service: string): number;
 }
 
 /**
- * Beyond this backlog of a prefill engine a request keeps decode memory
- * reserved for longer than it would wait.
+ * Behind a longer prefill backlog, a request would reserve decode memory for
+ * longer than it would have waited in the queue.
  */
 const MAX_PREFILL_BACKLOG_MS = 400;
 /**
- * What is known of another group's engine is up to a second old, and others
- * look at the same old news. An engine of theirs is used only while so many
- * times the need is free, or all groups promise the same memory.
+ * Loads of another group's engines are up to a second old, and other hosts
+ * decide by the same old data. Such an engine is used only if this many times
+ * the required memory is free; otherwise all groups would reserve the same
+ * memory.
  */
-const OTHER_GROUP_NEEDS = 4;
+const OTHER_GROUP_FREE_FACTOR = 4;
 /**
- * Of several engines with room two are drawn and the better one is taken, so
- * that hosts with the same old news don't all choose the same one.
+ * Takes the better of two engines picked at random, so that hosts with the same
+ * old data do not all choose the same engine.
  */
-const DRAWN_ENGINES = 2;
+const SAMPLED_ENGINES = 2;
 
 export function createEngineChoice(host: EngineChoiceHost): EngineChoice {
   const {random, registry, books, candidates, groups} = host;
 
-  const isOwn = ({id}: Upstream) => groups.isOwn(id);
+  const isPreferred = ({id}: Upstream) => groups.isOwn(id);
   const maxBacklogTokens = () => MAX_PREFILL_BACKLOG_MS * host.tokensPerMs();
 
   /**
-   * Begins at a drawn engine, for the first of several equal ones is taken:
-   * hosts whose books are empty would all take the same one.
+   * Starts the list at a random engine. Of several equal engines the first is
+   * taken, so hosts without any load data would all take the same one.
    */
   function rotate(engines: readonly Upstream[]): readonly Upstream[] {
     if (engines.length < 2) return engines;
@@ -100,22 +105,28 @@
     return [...engines.slice(first), ...engines.slice(0, first)];
   }
 
-  /** Those of the own group, or all where it has none. */
-  function ownOf(engines: readonly Upstream[]): readonly Upstream[] {
-    const own = engines.filter(isOwn);
+  /**
+   * The engines that this host's group prefers, or all if it prefers none of
+   * them.
+   */
+  function preferredOf(engines: readonly Upstream[]): readonly Upstream[] {
+    const own = engines.filter(isPreferred);
     return rotate(own.length > 0 ? own : engines);
   }
 
-  function draw(engines: readonly Upstream[]): readonly Upstream[] {
-    if (engines.length <= DRAWN_ENGINES) return engines;
+  function sample(engines: readonly Upstream[]): readonly Upstream[] {
+    if (engines.length <= SAMPLED_ENGINES) return engines;
     return Array.from(
-      {length: DRAWN_ENGINES},
+      {length: SAMPLED_ENGINES},
       () => engines[random.nextInt(engines.length)],
     );
   }
 
-  /** The one that is done first, if its backlog is short enough. */
-  function pickReader(
+  /**
+   * The engine that will finish its backlog first, if the backlog is short
+   * enough.
+   */
+  function pickShortBacklog(
     engines: readonly Upstream[],
     decode: Upstream,
   ): Upstream | undefined {
@@ -126,51 +137,56 @@
     return picked.engine;
   }
 
-  /** Adds the prefill engine; undefined when all backlogs are too long. */
+  /** Adds a prefill engine; undefined when all backlogs are too long. */
   function withPrefill(
     decode: Upstream,
     prefillEngines: readonly Upstream[],
-    inNeed: readonly Upstream[],
+    includingFailed: readonly Upstream[],
   ): ChosenEngines | undefined {
     if (prefillEngines.length === 0) return {decode};
-    // One that loses two answers in five still reads three prompts in five.
-    // With three such engines left out but one, it read 13 prompts a second
-    // in a burst of 28, while decode engines were half empty.
+    // An engine that loses two of five answers still prefills three prompts of
+    // five. With three such engines excluded, the remaining one prefilled 13 of
+    // the 28 prompts that a burst brought each second, while the decode engines
+    // were half empty.
     const prefill =
-      pickReader(prefillEngines, decode) ?? pickReader(inNeed, decode);
+      pickShortBacklog(prefillEngines, decode) ??
+      pickShortBacklog(includingFailed, decode);
     return prefill && {decode, prefill};
   }
 
-  function chooseOwn(
+  function choosePreferred(
     need: ChoiceNeed,
     traits: EngineTraits,
     ahead: number,
   ): ChosenEngines | undefined {
     const {name} = need.service;
-    const engines = ownOf(candidates.decodeWithRoom(name));
-    // An engine that loses some answers still serves most; left out while the
-    // sound ones are full, it makes callers wait or leave that it could serve.
+    const engines = preferredOf(candidates.decodeWithRoom(name));
+    // An engine that loses some answers still serves most. Excluding it while
+    // the healthy engines are full makes callers wait or leave that it could
+    // serve.
     const decode =
       pickDecode(engines, books, traits, need) ??
       pickDecode(
-        candidates.decodeInNeed(name).filter(isOwn),
+        candidates.decodeIncludingFailed(name).filter(isPreferred),
         books,
         traits,
         need,
       );
     if (!decode) return undefined;
-    const prefillEngines = ownOf(candidates.prefill(name));
-    const inNeed = ownOf(candidates.prefillInNeed(name));
+    const prefillEngines = preferredOf(candidates.prefill(name));
+    const includingFailed = preferredOf(
+      candidates.prefillIncludingFailed(name),
+    );
     if (ahead > 0) {
-      // Room for those ahead is theirs: without this all hosts would take the
-      // same room at the moment it shows.
+      // Leaves room for the requests ahead. Otherwise all hosts would take the
+      // same room at the moment it becomes free.
       const room = Math.min(
         countRoom(engines, books, traits, need),
-        countPrefillRoom(inNeed, books, maxBacklogTokens()),
+        countPrefillRoom(includingFailed, books, maxBacklogTokens()),
       );
       if (room <= ahead) return undefined;
     }
-    return withPrefill(decode, prefillEngines, inNeed);
+    return withPrefill(decode, prefillEngines, includingFailed);
   }
 
   function chooseOther(
@@ -179,32 +195,32 @@
   ): ChosenEngines | undefined {
     const {name} = need.service;
     const all = candidates.decodeWithRoom(name);
-    // Old news shows room where those who wait have taken it by now: without
-    // this all groups pour into the engine that was last seen with some.
+    // Old data shows room that waiting requests have already taken. Without
+    // this check all groups would send to the engine that last showed room.
     const others = all.filter(
-      engine => !isOwn(engine) && !host.isAwaited(engine.id),
+      engine => !isPreferred(engine) && !host.hasWaiters(engine.id),
     );
-    const spare = plannedTokens(need) * (OTHER_GROUP_NEEDS - 1);
-    const decode = pickDecode(draw(others), books, traits, need, spare);
+    const spare = plannedTokens(need) * (OTHER_GROUP_FREE_FACTOR - 1);
+    const decode = pickDecode(sample(others), books, traits, need, spare);
     if (!decode) return undefined;
     const prefillEngines = candidates.prefill(name);
-    return withPrefill(decode, draw(prefillEngines), []);
+    return withPrefill(decode, sample(prefillEngines), []);
   }
 
   return {
     choose: (need, traits, ahead) =>
-      chooseOwn(need, traits, ahead) ?? chooseOther(need, traits),
+      choosePreferred(need, traits, ahead) ?? chooseOther(need, traits),
     chooseAgain(need, traits, avoid, wantsPrefill) {
       const {name} = need.service;
       const engines = candidates
         .decodeWithRoom(name)
         .filter(({id}) => !avoid.has(id));
       const decode =
-        pickDecode(engines.filter(isOwn), books, traits, need) ??
+        pickDecode(engines.filter(isPreferred), books, traits, need) ??
         pickDecode(engines, books, traits, need);
       if (!decode) return undefined;
       const prefillEngines = wantsPrefill
-        ? ownOf(candidates.prefill(name))
+        ? preferredOf(candidates.prefill(name))
         : [];
       const prefill = pickPrefill(prefillEngines, books, decode)?.engine;
       return {decode, prefill};
@@ -213,14 +229,14 @@
       const engines = candidates
         .prefill(service)
         .filter(({id}) => !avoid.has(id));
-      return pickPrefill(ownOf(engines), books, decode)?.engine;
+      return pickPrefill(preferredOf(engines), books, decode)?.engine;
     },
     hasDecode: service =>
       registry.open(service).some(({role}) => role === 'decode'),
     countRuns: service =>
       registry
         .open(service)
-        .filter(engine => engine.role === 'decode' && isOwn(engine))
+        .filter(engine => engine.role === 'decode' && isPreferred(engine))
         .reduce((sum, {id}) => sum + books.decodeLoad(id).runs, 0),
   };
 }
--- a/src/relay/placement/engine_scheduler.ts
+++ b/src/relay/placement/engine_scheduler.ts
@@ -1,7 +1,7 @@
 /**
- * Gives each stream its decode and prefill engine, or lets it wait, or refuses
- * it. Books are shared with the peers by their announcements, so that each
- * host decides by itself and no host is a bottleneck or missed when it dies.
+ * Places each stream on a decode and a prefill engine, queues it, or refuses
+ * it. The hosts announce their loads to each other, so each can decide by
+ * itself and none is a bottleneck or a single point of failure.
  */
 
 import type {Service} from '../../core/routing_types.js';
@@ -33,27 +33,27 @@
   readonly registry: UpstreamRegistry;
   readonly books: EngineBooks;
   readonly learning: SharedLearning;
-  /** Requests that wait at the peers, and engines that failed them. */
+  /** Requests waiting at the peers, and engines that failed their requests. */
   readonly peers: PeerView;
-  /** Which engines this host uses first. */
+  /** Which engines this host prefers. */
   readonly groups: PlacementGroups;
-  /** This host told the engine to change its role. */
+  /** This host ordered the engine to change its role. */
   isChanging(engineId: string): boolean;
-  /** The engine takes nothing from this host for now. */
+  /** The engine takes no requests from this host for now. */
   isHeld(engineId: string): boolean;
-  /** Something that the peers should hear of has changed. */
+  /** Something that is announced to the peers has changed. */
   onChange(): void;
 }
 
-/** What the peers announced, on this host's clock. */
+/** What the peers announced, with times converted to this host's clock. */
 export interface PeerView {
   waiting(service: string): readonly Waiting[];
   isSuspect(engineId: string): boolean;
-  /** It refused a peer's request a moment ago. */
+  /** The engine refused a request of a peer a moment ago. */
   isFull(engineId: string): boolean;
-  /** It was told to change its role and takes no new work. */
+  /** The engine was ordered to change its role and takes no new requests. */
   isChanging(engineId: string): boolean;
-  /** Requests wait at hosts that use the engine first. */
+  /** Requests are waiting at hosts that prefer the engine. */
   isAwaited(engineId: string): boolean;
 }
 
@@ -61,30 +61,35 @@
   readonly requestId: string;
   readonly service: Service;
   readonly waiting: Waiting;
-  /** What `waiting` allows for the start on the engines. */
+  /**
+   * The time that `waiting` allows between the placement and the first event.
+   */
   readonly startMs: number;
-  /** How long the caller will still be there. */
+  /** How much longer the caller will wait. */
   readonly callerLeftMs: number;
 }
 
 export interface Placement {
   readonly kind: 'placed';
   readonly decode: Upstream;
-  /** Absent when the decode engine prefills by itself. */
+  /** Absent when the decode engine prefills the prompt itself. */
   readonly prefill?: Upstream;
   readonly run: DecodeRun;
-  /** The booked prefill, until it has ended. */
+  /** The reserved prefill, until it has ended. */
   readonly prefillBooking: PrefillBooking;
 }
 
-/** The place of one prompt in the backlog of an engine. */
+/** The reservation of one prompt in the backlog of an engine. */
 export interface PrefillBooking {
   readonly engineId: string;
-  /** The engine has had nothing else to read, as far as the books tell. */
+  /**
+   * Whether the engine has had no other prompt since the reservation, as far as
+   * is known.
+   */
   isAlone(): boolean;
-  /** What the engine has to read, this prompt among it. */
+  /** Tokens in the backlog of the engine, this prompt included. */
   backlogTokens(): number;
-  /** Frees the place; calls after the first do nothing. */
+  /** Ends the reservation; later calls do nothing. */
   end(): void;
 }
 
@@ -93,8 +98,8 @@
   | {readonly kind: 'refused'; readonly error: RequestError}
   | {readonly kind: 'cancelled'};
 
-/** One waiting request as it is announced: its age and how it stands. */
-export interface WaitingAnnouncement {
+/** A waiting request as it is announced to the peers. */
+export interface WaitingRequest {
   readonly service: string;
   readonly waiting: Waiting;
 }
@@ -104,45 +109,46 @@
     need: StreamNeed,
     cancellation: Cancellation,
   ): Promise<PlacementOutcome>;
-  /** Books engines that the host which places for the group has chosen. */
-  bookChosen(need: StreamNeed, chosen: ChosenEngines): Placement;
+  /** Reserves engines that the placer of the group has chosen. */
+  reserveChosen(need: StreamNeed, chosen: ChosenEngines): Placement;
   /**
-   * Another decode engine at once, or none; for a request under way. With
-   * `wantsPrefill` a prefill engine is booked, too, if there is one.
+   * Chooses another decode engine for a request that has already started,
+   * without waiting; undefined if there is none. `wantsPrefill` also reserves a
+   * prefill engine, if there is one.
    */
   placeAgain(
     need: StreamNeed,
     avoid: ReadonlySet<string>,
     wantsPrefill: boolean,
   ): Placement | undefined;
-  /** Another prefill engine for a request under way. */
+  /** Chooses another prefill engine for a request that has already started. */
   prefillAgain(
     need: StreamNeed,
     decode: Upstream,
     avoid: ReadonlySet<string>,
   ): {readonly engine: Upstream; readonly booking: PrefillBooking} | undefined;
-  /** The run ended; its memory is free. */
+  /** The run has ended and its memory is free. */
   release(run: DecodeRun): void;
   noteFailure(engineId: string): void;
   noteSuccess(engineId: string): void;
   /**
-   * The engine refused a request, for lack of room as a rule; it is left out
-   * for `forMs` if it says so.
+   * The engine refused a request, usually for lack of room. It is excluded for
+   * `forMs` if it gave a time.
    */
   noteFull(engineId: string, forMs?: number): void;
-  /** The engine took a request. */
+  /** The engine accepted a request. */
   noteTaken(engineId: string): void;
-  /** The engine refused a request that is for the other role. */
+  /** The engine refused a request because it has the other role. */
   noteOtherRole(engineId: string): void;
-  /** Engines that have another role than the list says. */
+  /** Engines whose actual role differs from the listed one. */
   inOtherRole(): readonly string[];
-  /** Looks whether somebody who waits can go now. */
-  pump(): void;
-  /** As above, a moment later, with what else comes in until then. */
+  /** Places the waiting requests that now find room. */
+  processQueue(): void;
+  /** Same, after a short delay that lets further updates arrive. */
   pumpSoon(): void;
-  announcements(): readonly WaitingAnnouncement[];
+  announcements(): readonly WaitingRequest[];
   suspects(): readonly string[];
-  /** Engines that refused this host a moment ago. */
+  /** Engines that refused requests of this host a moment ago. */
   full(): readonly string[];
 }
 
@@ -151,11 +157,17 @@
   readonly resolve: (outcome: PlacementOutcome) => void;
 }
 
-/** How often those who wait are looked at without any news. */
-const PUMP_EVERY_MS = 50;
-/** News of many peers come in each millisecond; one look serves them all. */
-const PUMP_SOON_MS = 6;
-/** A refusal without any engine: they are listed again within seconds. */
+/** How often the queue is checked without any update. */
+const QUEUE_CHECK_MS = 50;
+/**
+ * With many peers an update arrives each millisecond; one check serves several
+ * of them.
+ */
+const QUEUE_CHECK_DELAY_MS = 6;
+/**
+ * Retry delay when no engine is listed; engines are listed again within
+ * seconds.
+ */
 const NO_ENGINE_RETRY_MS = 1_000;
 
 export function createEngineScheduler(
@@ -168,7 +180,7 @@
     isSuspect: peers.isSuspect,
     isFullAtPeer: peers.isFull,
     isChanging: id => peers.isChanging(id) || host.isChanging(id),
-    isHeld: host.isHeld,
+    isPaused: host.isHeld,
   });
   const engines = createEngineChoice({
     random,
@@ -177,13 +189,13 @@
     candidates,
     groups,
     tokensPerMs: host.learning.tokensPerMs,
-    isAwaited: peers.isAwaited,
+    hasWaiters: peers.isAwaited,
   });
   let waiters: Waiter[] = [];
   let timer: TimerHandle | undefined;
   let soonTimer: TimerHandle | undefined;
 
-  function book(need: StreamNeed, chosen: ChosenEngines): Placement {
+  function reserve(need: StreamNeed, chosen: ChosenEngines): Placement {
     const {decode, prefill} = chosen;
     const {runs, tokensNow, tokensAtEnd} = books.decodeLoad(decode.id);
     host.log.info('Placed.', {
@@ -198,25 +210,26 @@
       bookedAtEnd: Math.round(tokensAtEnd),
       waitingHere: waiters.length,
     });
-    candidates.notePlaced(decode.id);
+    candidates.recordPlacement(decode.id);
     const run = books.startRun({
       engineId: decode.id,
       promptTokens: need.promptTokens,
       expectedOutputTokens: need.expectedOutputTokens,
     });
-    const reader = prefill ?? decode;
-    const prefillBooking = bookPrefill(reader.id, need.promptTokens);
+    const prefillEngine = prefill ?? decode;
+    const prefillBooking = reservePrefill(prefillEngine.id, need.promptTokens);
     return {kind: 'placed', decode, prefill, run, prefillBooking};
   }
 
-  function bookPrefill(engineId: string, tokens: number): PrefillBooking {
+  function reservePrefill(engineId: string, tokens: number): PrefillBooking {
     const wasAlone = books.prefillLoad(engineId).prompts === 0;
     let isOpen = true;
     books.startPrefill(engineId, tokens);
-    candidates.notePlaced(engineId);
+    candidates.recordPlacement(engineId);
     return {
       engineId,
-      // Peers may have sent theirs at the same moment; their word comes later.
+      // Peers may have placed prompts there at the same moment; their
+      // announcements arrive later.
       isAlone: () => wasAlone && books.prefillLoad(engineId).prompts === 1,
       backlogTokens: () => books.prefillLoad(engineId).tokens,
       end() {
@@ -231,18 +244,18 @@
   function tryPlace(need: StreamNeed, ahead: number): Placement | undefined {
     const traits = need.service.engine;
     const chosen = traits && engines.choose(need, traits, ahead);
-    return chosen && book(need, chosen);
+    return chosen && reserve(need, chosen);
   }
 
-  /** Requests at the peers that go before this one. */
-  function aheadAtPeers(need: StreamNeed): number {
+  /** Counts the requests at the peers that come before this one. */
+  function countAheadAtPeers(need: StreamNeed): number {
     const nowMs = clock.nowMs();
     return peers
       .waiting(need.service.name)
       .filter(other => compareWaiting(other, need.waiting, nowMs) < 0).length;
   }
 
-  function aheadHere(need: StreamNeed): number {
+  function countAheadHere(need: StreamNeed): number {
     const nowMs = clock.nowMs();
     return waiters.filter(
       ({need: other}) =>
@@ -267,8 +280,8 @@
     };
   }
 
-  function forecast(need: StreamNeed): number {
-    return forecastWaitMs(aheadHere(need) + aheadAtPeers(need), {
+  function forecastMs(need: StreamNeed): number {
+    return forecastWaitMs(countAheadHere(need) + countAheadAtPeers(need), {
       runs: engines.countRuns(need.service.name),
       meanRunMs: host.learning.meanRunMs(),
     });
@@ -284,25 +297,25 @@
     host.onChange();
   }
 
-  function expire(nowMs: number): void {
+  function refuseExpired(nowMs: number): void {
     for (const waiter of [...waiters]) {
       if (nowMs <= waiter.need.waiting.giveUpAtMs) continue;
-      settle(waiter, refuse(waiter.need, forecast(waiter.need)));
+      settle(waiter, refuse(waiter.need, forecastMs(waiter.need)));
     }
   }
 
   function pumpSoon(): void {
     if (waiters.length === 0) return;
-    soonTimer ??= clock.setTimer(PUMP_SOON_MS, pump);
+    soonTimer ??= clock.setTimer(QUEUE_CHECK_DELAY_MS, processQueue);
   }
 
-  function pump(): void {
+  function processQueue(): void {
     for (const each of [timer, soonTimer]) if (each) clock.clearTimer(each);
     timer = undefined;
     soonTimer = undefined;
     if (waiters.length === 0) return;
     const nowMs = clock.nowMs();
-    expire(nowMs);
+    refuseExpired(nowMs);
     const inOrder = [...waiters].sort((a, b) =>
       compareWaiting(a.need.waiting, b.need.waiting, nowMs),
     );
@@ -310,11 +323,12 @@
     for (const waiter of inOrder) {
       const {name} = waiter.need.service;
       if (blocked.has(name)) continue;
-      const placed = tryPlace(waiter.need, aheadAtPeers(waiter.need));
+      const placed = tryPlace(waiter.need, countAheadAtPeers(waiter.need));
       if (placed) settle(waiter, placed);
       else blocked.add(name);
     }
-    if (waiters.length > 0) timer = clock.setTimer(PUMP_EVERY_MS, pump);
+    if (waiters.length > 0)
+      timer = clock.setTimer(QUEUE_CHECK_MS, processQueue);
   }
 
   function enqueue(
@@ -328,7 +342,7 @@
         if (waiters.includes(waiter)) settle(waiter, {kind: 'cancelled'});
       });
       host.onChange();
-      timer ??= clock.setTimer(PUMP_EVERY_MS, pump);
+      timer ??= clock.setTimer(QUEUE_CHECK_MS, processQueue);
     });
   }
 
@@ -344,20 +358,20 @@
           },
         };
       }
-      const ahead = aheadHere(need) + aheadAtPeers(need);
+      const ahead = countAheadHere(need) + countAheadAtPeers(need);
       const placed = tryPlace(need, ahead);
       if (placed) {
         host.onChange();
         return placed;
       }
-      const waitMs = forecast(need);
+      const waitMs = forecastMs(need);
       const nowMs = clock.nowMs();
       const retryAfterMs = findRetryAfterMs(need.waiting, waitMs, nowMs);
       if (retryAfterMs !== undefined) return refuse(need, retryAfterMs);
       return enqueue(need, cancellation);
     },
-    bookChosen(need, chosen) {
-      const placed = book(need, chosen);
+    reserveChosen(need, chosen) {
+      const placed = reserve(need, chosen);
       host.onChange();
       return placed;
     },
@@ -366,37 +380,40 @@
       const chosen =
         traits && engines.chooseAgain(need, traits, avoid, wantsPrefill);
       if (!chosen) return undefined;
-      const placed = book(need, chosen);
+      const placed = reserve(need, chosen);
       host.onChange();
       return placed;
     },
     prefillAgain(need, decode, avoid) {
       const engine = engines.choosePrefill(need.service.name, decode, avoid);
       return (
-        engine && {engine, booking: bookPrefill(engine.id, need.promptTokens)}
+        engine && {
+          engine,
+          booking: reservePrefill(engine.id, need.promptTokens),
+        }
       );
     },
     release(run) {
       books.endRun(run);
       host.onChange();
-      if (waiters.length > 0) pump();
+      if (waiters.length > 0) processQueue();
     },
     noteFailure(engineId) {
-      candidates.noteFailure(engineId);
+      candidates.recordFailure(engineId);
       host.onChange();
     },
-    noteSuccess: candidates.noteSuccess,
+    noteSuccess: candidates.recordSuccess,
     noteFull(engineId, forMs) {
-      candidates.noteFull(engineId, forMs);
+      candidates.recordRefusal(engineId, forMs);
       host.onChange();
     },
-    noteTaken: candidates.noteTaken,
+    noteTaken: candidates.recordAcceptance,
     noteOtherRole(engineId) {
-      candidates.noteOtherRole(engineId);
+      candidates.recordRoleMismatch(engineId);
       host.onChange();
     },
-    inOtherRole: candidates.inOtherRole,
-    pump,
+    inOtherRole: candidates.withRoleMismatch,
+    processQueue,
     pumpSoon,
     announcements: () =>
       waiters.map(({need}) => ({
--- a/src/relay/placement/peer_loads.ts
+++ b/src/relay/placement/peer_loads.ts
@@ -1,6 +1,6 @@
 /**
- * Sums of what all peers have promised of each engine, kept as announcements
- * come in: with many hosts a sum made anew for each engine and each request
+ * Total load that all peers have reserved on each engine, updated with each
+ * announcement. With many hosts, adding it up anew for each engine and request
  * takes more processor time than the request itself.
  */
 
@@ -9,13 +9,13 @@
 type Sums = readonly number[];
 
 export interface PeerLoads {
-  /** Replaces what is known of a peer; undefined once it is gone. */
+  /** Replaces the load of a peer; undefined removes it. */
   set(hostId: string, load: HostLoad | undefined): void;
-  /** Runs, tokens now, tokens at the end. */
+  /** Runs, tokens now, forecast tokens at the end. */
   decode(engineId: string): readonly [number, number, number];
   /** Prompts, tokens. */
   prefill(engineId: string): readonly [number, number];
-  /** Engines of which a peer has promised something. */
+  /** Engines on which a peer has reserved anything. */
   engineIds(): ReadonlySet<string>;
 }
 
--- a/src/relay/placement/peer_view.ts
+++ b/src/relay/placement/peer_view.ts
@@ -1,8 +1,8 @@
-/** What the peers announced, as the scheduler asks for it. */
+/** Collects what the peers announce, in the form that the scheduler needs. */
 
 import type {Clock} from '../../ports/clock.js';
 import type {EngineBooks} from './engine_books.js';
-import type {PeerView, WaitingAnnouncement} from './engine_scheduler.js';
+import type {PeerView, WaitingRequest} from './engine_scheduler.js';
 import {
   toLocalWaiting,
   type Peer,
@@ -12,29 +12,34 @@
 import type {PlacementGroups} from './placement_groups.js';
 import type {Waiting} from './wait_rules.js';
 
-export interface PeerViewKeeper extends PeerView {
-  heard(peer: Peer): void;
-  /** A coordinator told what all hosts found out. */
-  told(fromHostId: string, findings: FoundUpstreams): void;
-  /** What the host told is no longer so. */
+export interface MutablePeerView extends PeerView {
+  applyPeer(peer: Peer): void;
+  /** Applies a coordinator's summary of what all hosts reported. */
+  applySummary(fromHostId: string, findings: FoundUpstreams): void;
+  /** Drops everything that the host announced. */
   forget(hostId: string): void;
-  /** What this host and the peers that it hears found out. */
+  /** What this host and the peers that announce to it have reported. */
   found(own: FoundUpstreams): FoundUpstreams;
-  /** This host's own waiting requests, for the peers. */
-  toRecords(waiting: readonly WaitingAnnouncement[]): readonly WaitingRecord[];
+  /** This host's waiting requests, in the form announced to the peers. */
+  toWaitingRecords(
+    waiting: readonly WaitingRequest[],
+  ): readonly WaitingRecord[];
 }
 
-/** The lists of what was found out. */
+/** Upstreams that hosts reported, by kind of report. */
 export type FoundUpstreams = Pick<
   UpstreamFindings,
   'suspects' | 'unreachable' | 'changing'
 >;
 
-/** A peer that blames more upstreams than this is likely cut off itself. */
+/** A peer that reports more upstreams than this is probably cut off itself. */
 export const MOST_SUSPECTS = 5;
 
-/** A host that places for many may have more in its queue than a datagram holds. */
-const MOST_TOLD = 32;
+/**
+ * Limit of waiting requests in an announcement. The queue of a placer may hold
+ * more than fits into a datagram.
+ */
+const MAX_WAITING_RECORDS = 32;
 
 export interface PeerViewHost {
   readonly clock: Clock;
@@ -42,21 +47,21 @@
   readonly groups: PlacementGroups;
 }
 
-export function createPeerView(host: PeerViewHost): PeerViewKeeper {
+export function createPeerView(host: PeerViewHost): MutablePeerView {
   const {clock, books, groups} = host;
   const peers = new Map<string, Peer>();
-  /** By coordinator; all say much the same. */
+  /** By coordinator; their summaries are nearly the same. */
   const summaries = new Map<string, FoundUpstreams>();
   const suspects = createTally();
   const unreachable = createTally();
   const changing = createTally();
   const full = createTally();
-  const toldSuspects = createTally();
-  const toldChanging = createTally();
-  /** Peers with requests that wait; few as a rule. */
-  const awaiting = new Map<string, Peer>();
+  const summarySuspects = createTally();
+  const summaryChanging = createTally();
+  /** Peers with waiting requests, usually few. */
+  const peersWithWaiting = new Map<string, Peer>();
 
-  function countBlame(peer: Peer, sign: 1 | -1): void {
+  function countPeer(peer: Peer, sign: 1 | -1): void {
     if (peer.suspects.length <= MOST_SUSPECTS) {
       suspects.add(peer.suspects, sign);
     }
@@ -67,39 +72,39 @@
     full.add(peer.full, sign);
   }
 
-  function countTold(summary: FoundUpstreams, sign: 1 | -1): void {
-    toldSuspects.add(summary.suspects, sign);
-    toldChanging.add(summary.changing, sign);
+  function countSummary(summary: FoundUpstreams, sign: 1 | -1): void {
+    summarySuspects.add(summary.suspects, sign);
+    summaryChanging.add(summary.changing, sign);
   }
 
-  function forgetTold(fromHostId: string): void {
+  function forgetSummary(fromHostId: string): void {
     const before = summaries.get(fromHostId);
-    if (before) countTold(before, -1);
+    if (before) countSummary(before, -1);
     summaries.delete(fromHostId);
   }
 
   return {
-    heard(peer) {
+    applyPeer(peer) {
       const before = peers.get(peer.hostId);
-      if (before) countBlame(before, -1);
+      if (before) countPeer(before, -1);
       peers.set(peer.hostId, peer);
-      countBlame(peer, 1);
-      if (peer.waiting.length > 0) awaiting.set(peer.hostId, peer);
-      else awaiting.delete(peer.hostId);
+      countPeer(peer, 1);
+      if (peer.waiting.length > 0) peersWithWaiting.set(peer.hostId, peer);
+      else peersWithWaiting.delete(peer.hostId);
       books.setPeer(peer.hostId, peer.load);
     },
-    told(fromHostId, {suspects: ids, unreachable, changing}) {
-      forgetTold(fromHostId);
+    applySummary(fromHostId, {suspects: ids, unreachable, changing}) {
+      forgetSummary(fromHostId);
       const summary = {suspects: ids, unreachable, changing};
       summaries.set(fromHostId, summary);
-      countTold(summary, 1);
+      countSummary(summary, 1);
     },
     forget(hostId) {
       const before = peers.get(hostId);
-      if (before) countBlame(before, -1);
-      forgetTold(hostId);
+      if (before) countPeer(before, -1);
+      forgetSummary(hostId);
       peers.delete(hostId);
-      awaiting.delete(hostId);
+      peersWithWaiting.delete(hostId);
       books.setPeer(hostId, undefined);
     },
     found: own => ({
@@ -109,8 +114,8 @@
     }),
     waiting(service) {
       const waiting: Waiting[] = [];
-      for (const peer of awaiting.values()) {
-        // Those of other groups wait for other engines.
+      for (const peer of peersWithWaiting.values()) {
+        // Hosts of other groups wait for other engines.
         if (!groups.isMate(peer.hostId)) continue;
         for (const record of peer.waiting) {
           if (record.service !== service) continue;
@@ -119,32 +124,34 @@
       }
       return waiting;
     },
-    isSuspect: id => suspects.has(id) || toldSuspects.has(id),
+    isSuspect: id => suspects.has(id) || summarySuspects.has(id),
     isFull: full.has,
-    isChanging: id => changing.has(id) || toldChanging.has(id),
+    isChanging: id => changing.has(id) || summaryChanging.has(id),
     isAwaited(engineId) {
-      for (const hostId of awaiting.keys()) {
+      for (const hostId of peersWithWaiting.keys()) {
         if (groups.isOwnOf(hostId, engineId)) return true;
       }
       return false;
     },
-    toRecords(waiting) {
+    toWaitingRecords(waiting) {
       const nowMs = clock.nowMs();
-      return waiting.slice(0, MOST_TOLD).map(({service, waiting: each}) => ({
-        service,
-        ageMs: Math.round(nowMs - each.arrivedAtMs),
-        onTimeMs: Math.round(each.onTimeUntilMs - nowMs),
-        giveUpMs: Math.round(each.giveUpAtMs - nowMs),
-      }));
+      return waiting
+        .slice(0, MAX_WAITING_RECORDS)
+        .map(({service, waiting: each}) => ({
+          service,
+          ageMs: Math.round(nowMs - each.arrivedAtMs),
+          onTimeMs: Math.round(each.onTimeUntilMs - nowMs),
+          giveUpMs: Math.round(each.giveUpAtMs - nowMs),
+        }));
     },
   };
 }
 
-/** How many peers name each id. */
+/** Counts how many peers report each id. */
 interface Tally {
   add(ids: readonly string[], sign: 1 | -1): void;
   has(id: string): boolean;
-  /** These ids and those that peers name. */
+  /** The given ids and those that any peer reports. */
   with(ids: readonly string[]): readonly string[];
 }
 
--- a/src/relay/placement/placement_client.ts
+++ b/src/relay/placement/placement_client.ts
@@ -1,13 +1,14 @@
 /**
- * An entry's way to engines where many hosts share them: it asks the host that
- * places for its group, which knows exactly what is promised and who waits.
+ * Asks the placer of this host's group for engines, where many hosts share
+ * them. The placer knows exactly what is reserved and which requests wait.
  *
- * Hosts that decide by old news give the same room away, and small hosts
- * cannot bear to hear each change of all others at once.
+ * Hosts that decide by outdated data reserve the same room twice, and small
+ * hosts cannot process each change of all others at once.
  *
- * Guards against a placer that is dead, frozen or cut off before anyone has
- * noticed: it acknowledges at once or is passed over, first for the standby,
- * which hears the same news, then for this host's own, older books.
+ * A placer may be dead, frozen or cut off before the membership shows it. It
+ * must acknowledge each request at once; otherwise the standby, which receives
+ * the same announcements, is asked, and then this host decides by its own,
+ * older data.
  */
 
 import type {Clock, TimerHandle} from '../../ports/clock.js';
@@ -29,11 +30,17 @@
   readonly clock: Clock;
   readonly log: Logger;
   readonly hostId: string;
-  /** Differs for each start, so that asks of another life are not meant. */
+  /**
+   * Differs for each process start, so that answers to an earlier process are
+   * not mistaken for answers to this one.
+   */
   readonly firstAskId: number;
   readonly scheduler: EngineScheduler;
   readonly registry: UpstreamRegistry;
-  /** Who places, first choice first; none where few hosts share the engines. */
+  /**
+   * The placer and its standby in order of preference; empty where few hosts
+   * share the engines.
+   */
   placers(): readonly string[];
   tell(hostId: string, message: PlacementMessage): void;
 }
@@ -44,35 +51,45 @@
     cancellation: Cancellation,
   ): Promise<PlacementOutcome>;
   receive(fromHostId: string, answer: PlacementAnswer): void;
-  /** The placer died; whoever waits there asks again. */
+  /** The placer died; the requests that wait there are placed elsewhere. */
   forget(hostId: string): void;
-  /** Asks whose engines this host has booked by itself by now. */
-  adopted(): readonly number[];
+  /** Ids of requests whose engines this host has reserved in its own load. */
+  adoptedAskIds(): readonly number[];
 }
 
 /**
- * A small host with a burst on its hands answers within this time; after it a
- * datagram is taken for lost and sent again.
+ * A small host answers within this time even in a burst; after it the datagram
+ * is assumed lost and sent again.
  */
-const ASK_AGAIN_MS = 80;
-/** A placer that has acknowledged nothing for this long is passed over. */
-const SILENT_MS = 250;
-/** One in the queue shows that it still waits, and asks whether it does. */
-const STILL_THERE_MS = 300;
-/** A placer that was passed over is not asked for this long. */
-const PASSED_OVER_MS = 600;
-/** The placer refuses in time by itself; beyond this its word was lost. */
-const LATE_REFUSAL_MS = 150;
-/** Announcements repeat an adopted ask for this long, should one be lost. */
-const ADOPTED_FOR_MS = 1_200;
+const RESEND_MS = 80;
+/** A placer that is silent for this long is skipped. */
+const SILENCE_TIMEOUT_MS = 250;
+/**
+ * A queued request is sent again this often, to tell the placer that it still
+ * waits and to check that it is still queued.
+ */
+const QUEUED_RESEND_MS = 300;
+/** A skipped placer gets no requests for this long. */
+const SKIP_MS = 600;
+/**
+ * The placer refuses a request in time; after this margin its refusal is
+ * assumed lost.
+ */
+const REFUSAL_MARGIN_MS = 150;
+/**
+ * Reserved requests are announced for this long, in case an announcement is
+ * lost.
+ */
+const ANNOUNCE_ADOPTED_MS = 1_200;
 
 /**
- * What came of asking one placer: `silent` when it does not acknowledge,
- * `unknown` when it chose engines that take no work as far as this host knows.
+ * Result of a request to one placer: `silent` if it does not acknowledge,
+ * `unknown` if it chose engines that take no requests according to this host's
+ * list.
  */
 type PlacerOutcome = PlacementOutcome | 'silent' | 'unknown';
 
-interface OpenAsk {
+interface PendingRequest {
   readonly need: StreamNeed;
   readonly placer: string;
   readonly resolve: (outcome: PlacerOutcome) => void;
@@ -84,13 +101,13 @@
   host: PlacementClientHost,
 ): PlacementClient {
   const {clock, log, scheduler, registry} = host;
-  const open = new Map<number, OpenAsk>();
+  const pending = new Map<number, PendingRequest>();
   const adoptedAtMs = new Map<number, number>();
-  const passedOverUntilMs = new Map<string, number>();
+  const skippedUntilMs = new Map<string, number>();
   let lastPlacer: string | undefined;
   let nextAskId = host.firstAskId;
 
-  function toAsk(askId: number, need: StreamNeed): PlacementAsk {
+  function toRequest(askId: number, need: StreamNeed): PlacementAsk {
     const {waiting} = need;
     const nowMs = clock.nowMs();
     return {
@@ -108,7 +125,7 @@
     };
   }
 
-  function askPlacer(
+  function requestFrom(
     placer: string,
     need: StreamNeed,
     cancellation: Cancellation,
@@ -117,56 +134,60 @@
     return new Promise(resolve => {
       let timer: TimerHandle | undefined;
       const finish = (outcome: PlacerOutcome) => {
-        if (!open.delete(askId)) return;
+        if (!pending.delete(askId)) return;
         if (timer) clock.clearTimer(timer);
         resolve(outcome);
       };
-      const ask: OpenAsk = {
+      const request: PendingRequest = {
         need,
         placer,
         resolve: finish,
         heardAtMs: clock.nowMs(),
         isQueued: false,
       };
-      const look = () => {
+      const check = () => {
         const nowMs = clock.nowMs();
-        const isLost = nowMs - ask.heardAtMs >= SILENT_MS + pauseMs(ask);
-        if (isLost || nowMs > need.waiting.giveUpAtMs + LATE_REFUSAL_MS) {
+        const isSilent =
+          nowMs - request.heardAtMs >= SILENCE_TIMEOUT_MS + graceMs(request);
+        if (isSilent || nowMs > need.waiting.giveUpAtMs + REFUSAL_MARGIN_MS) {
           host.tell(placer, {kind: 'withdraw', askId});
           return finish('silent');
         }
-        host.tell(placer, toAsk(askId, need));
-        timer = clock.setTimer(pauseMs(ask) + ASK_AGAIN_MS, look);
+        host.tell(placer, toRequest(askId, need));
+        timer = clock.setTimer(graceMs(request) + RESEND_MS, check);
       };
-      open.set(askId, ask);
+      pending.set(askId, request);
       cancellation.onCancel(() => {
-        if (open.has(askId)) host.tell(placer, {kind: 'withdraw', askId});
+        if (pending.has(askId)) host.tell(placer, {kind: 'withdraw', askId});
         finish({kind: 'cancelled'});
       });
-      if (open.has(askId)) look();
+      if (pending.has(askId)) check();
     });
   }
 
-  /** How long the placer may say nothing without cause for doubt. */
-  function pauseMs({isQueued}: OpenAsk): number {
-    return isQueued ? STILL_THERE_MS : 0;
+  /** Extra time for which a silent placer is not suspected. */
+  function graceMs({isQueued}: PendingRequest): number {
+    return isQueued ? QUEUED_RESEND_MS : 0;
   }
 
-  function passOver(placer: string, need: StreamNeed): void {
-    passedOverUntilMs.set(placer, clock.nowMs() + PASSED_OVER_MS);
-    log.warn('A placer does not answer.', {
+  function skip(placer: string, need: StreamNeed): void {
+    skippedUntilMs.set(placer, clock.nowMs() + SKIP_MS);
+    log.warn('Placer does not answer.', {
       request: need.requestId,
       placer,
       ageMs: Math.round(clock.nowMs() - need.waiting.arrivedAtMs),
     });
   }
 
-  function isPassedOver(placer: string): boolean {
-    return (passedOverUntilMs.get(placer) ?? 0) > clock.nowMs();
+  function isSkipped(placer: string): boolean {
+    return (skippedUntilMs.get(placer) ?? 0) > clock.nowMs();
   }
 
-  /** Books what the placer chose, unless the engines take no work here. */
-  function adopt(
+  /**
+   * Reserves the chosen engines, unless they take no requests according to this
+   * host's list.
+   */
+  function reserveChosen(
     answer: Extract<PlacementAnswer, {kind: 'placed'}>,
     need: StreamNeed,
   ): PlacementOutcome | 'unknown' {
@@ -176,64 +197,66 @@
     const isKnown = decode && (prefill || !prefillId);
     if (!isKnown) return 'unknown';
     adoptedAtMs.set(answer.askId, clock.nowMs());
-    return scheduler.bookChosen(need, {decode, prefill});
+    return scheduler.reserveChosen(need, {decode, prefill});
   }
 
-  function notePlacer(placer: string | undefined): void {
+  function logPlacerChange(placer: string | undefined): void {
     if (placer === lastPlacer) return;
-    log.info('Another host places for this one.', {placer, before: lastPlacer});
+    log.info('Placer changed.', {placer, before: lastPlacer});
     lastPlacer = placer;
   }
 
   return {
     async place(need, cancellation) {
       const placers = host.placers();
-      notePlacer(placers.at(0));
+      logPlacerChange(placers.at(0));
       for (const placer of placers) {
         if (cancellation.isCancelled) return {kind: 'cancelled'};
         if (placer === host.hostId) break;
-        if (isPassedOver(placer)) continue;
-        const outcome = await askPlacer(placer, need, cancellation);
-        // The lists differ; the placer itself is well, and asked again next.
+        if (isSkipped(placer)) continue;
+        const outcome = await requestFrom(placer, need, cancellation);
+        // The lists differ, but the placer works and gets the next request
+        // again.
         if (outcome === 'unknown') break;
         if (outcome !== 'silent') return outcome;
-        passOver(placer, need);
+        skip(placer, need);
       }
       return scheduler.place(need, cancellation);
     },
     receive(fromHostId, answer) {
-      const ask = open.get(answer.askId);
-      if (!ask || ask.placer !== fromHostId) {
-        // Nobody here waits for it any more: the room is free again.
+      const request = pending.get(answer.askId);
+      if (!request || request.placer !== fromHostId) {
+        // No request waits for this answer any more, so the placer can free the
+        // room.
         if (answer.kind !== 'placed' || adoptedAtMs.has(answer.askId)) return;
         host.tell(fromHostId, {kind: 'withdraw', askId: answer.askId});
         return;
       }
-      ask.heardAtMs = clock.nowMs();
+      request.heardAtMs = clock.nowMs();
       switch (answer.kind) {
         case 'queued':
-          ask.isQueued = true;
+          request.isQueued = true;
           return;
         case 'placed':
-          ask.resolve(adopt(answer, ask.need));
+          request.resolve(reserveChosen(answer, request.need));
           return;
         case 'refused': {
           const {detail, retryAfterMs} = answer;
           const error = {kind: 'overloaded', detail, retryAfterMs} as const;
-          ask.resolve({kind: 'refused', error});
+          request.resolve({kind: 'refused', error});
           return;
         }
       }
     },
     forget(hostId) {
-      for (const ask of [...open.values()]) {
-        if (ask.placer === hostId) ask.resolve('silent');
+      for (const request of [...pending.values()]) {
+        if (request.placer === hostId) request.resolve('silent');
       }
     },
-    adopted() {
+    adoptedAskIds() {
       const nowMs = clock.nowMs();
       for (const [askId, atMs] of adoptedAtMs) {
-        if (nowMs - atMs > ADOPTED_FOR_MS) adoptedAtMs.delete(askId);
+        if (nowMs - atMs > ANNOUNCE_ADOPTED_MS) adoptedAtMs.delete(askId);
       }
       return [...adoptedAtMs.keys()];
     },
--- a/src/relay/placement/placement_desk.ts
+++ b/src/relay/placement/placement_desk.ts
@@ -1,10 +1,10 @@
 /**
- * Places streams for the other hosts of a group, with the same scheduler, queue
- * and books as for this host's own.
+ * Places streams for the other hosts of the group, with the same scheduler,
+ * queue and load data as this host's own streams.
  *
- * What it gives away counts in its own books until the asking host has
- * announced that it has booked it, or for a second: the asking host may die,
- * or its word may be lost.
+ * A placement counts in this host's load until the requesting host has
+ * announced it as its own, or for a second, because that host may die or its
+ * announcements may be lost.
  */
 
 import type {Service} from '../../core/routing_types.js';
@@ -39,42 +39,46 @@
     fromHostId: string,
     message: PlacementAsk | PlacementWithdrawal,
   ): void;
-  /** The host has booked by itself what it was given for these asks. */
+  /**
+   * The host has announced the placements of these requests in its own load.
+   */
   adopted(hostId: string, askIds: readonly number[]): void;
-  /** The host died: nothing it asked for is needed any more. */
+  /** The host died; its requests are dropped. */
   forget(hostId: string): void;
 }
 
-/** What was given counts for this long without the other host's word. */
-const HELD_FOR_MS = 1_000;
-/** A repeated ask gets the same answer for this long. */
-const REMEMBERED_MS = 3_000;
+/**
+ * A placement counts for this long without an announcement by the other host.
+ */
+const UNCONFIRMED_HOLD_MS = 1_000;
+/** A repeated request gets the same answer for this long. */
+const ANSWER_RETENTION_MS = 3_000;
 
-interface DeskEntry {
+interface ServedRequest {
   readonly cancellation: CancellationSource;
   answer: PlacementAnswer;
-  held?: Placement;
+  placement?: Placement;
 }
 
 export function createPlacementDesk(host: PlacementDeskHost): PlacementDesk {
   const {clock, scheduler} = host;
-  const hosts = new Map<string, Map<number, DeskEntry>>();
+  const requestsByHost = new Map<string, Map<number, ServedRequest>>();
 
-  function entriesOf(hostId: string): Map<number, DeskEntry> {
-    let entries = hosts.get(hostId);
+  function requestsOf(hostId: string): Map<number, ServedRequest> {
+    let entries = requestsByHost.get(hostId);
     if (!entries) {
       entries = new Map();
-      hosts.set(hostId, entries);
+      requestsByHost.set(hostId, entries);
     }
     return entries;
   }
 
-  function letGo(entry: DeskEntry): void {
-    const {held} = entry;
-    if (!held) return;
-    entry.held = undefined;
-    held.prefillBooking.end();
-    scheduler.release(held.run);
+  function releasePlacement(entry: ServedRequest): void {
+    const {placement} = entry;
+    if (!placement) return;
+    entry.placement = undefined;
+    placement.prefillBooking.end();
+    scheduler.release(placement.run);
   }
 
   function toAnswer(askId: number, outcome: PlacementOutcome): PlacementAnswer {
@@ -88,85 +92,89 @@
         return {kind: 'refused', askId, detail, retryAfterMs};
       }
       case 'cancelled':
-        return {kind: 'refused', askId, detail: 'It was withdrawn.'};
+        return {kind: 'refused', askId, detail: 'The request was withdrawn.'};
     }
   }
 
-  async function take(fromHostId: string, ask: PlacementAsk): Promise<void> {
-    const {askId} = ask;
-    const service = host.findService(ask.service);
-    // A configuration that has not come here yet: the asking host goes on.
+  async function serve(
+    fromHostId: string,
+    request: PlacementAsk,
+  ): Promise<void> {
+    const {askId} = request;
+    const service = host.findService(request.service);
+    // The service is missing from this host's older configuration. The
+    // requesting host gets no answer and goes on to the next placer.
     if (!service) return;
     const nowMs = clock.nowMs();
-    // The host that places hears soonest how long starts take by now.
+    // The placer has the latest data on how long starts take.
     const startMs = host.learning.meanStartMs();
-    const slackMs = ask.startMs - startMs;
-    const entry: DeskEntry = {
+    const slackMs = request.startMs - startMs;
+    const entry: ServedRequest = {
       cancellation: createCancellation(),
       answer: {kind: 'queued', askId},
     };
-    const entries = entriesOf(fromHostId);
+    const entries = requestsOf(fromHostId);
     entries.set(askId, entry);
     const placing = scheduler.place(
       {
-        requestId: ask.requestId,
+        requestId: request.requestId,
         service,
-        promptTokens: ask.promptTokens,
-        expectedOutputTokens: ask.expectedOutputTokens,
+        promptTokens: request.promptTokens,
+        expectedOutputTokens: request.expectedOutputTokens,
         startMs,
         waiting: {
-          arrivedAtMs: nowMs - ask.ageMs,
-          onTimeUntilMs: nowMs + ask.onTimeMs + slackMs,
-          giveUpAtMs: nowMs + ask.giveUpMs + slackMs,
+          arrivedAtMs: nowMs - request.ageMs,
+          onTimeUntilMs: nowMs + request.onTimeMs + slackMs,
+          giveUpAtMs: nowMs + request.giveUpMs + slackMs,
         },
-        callerLeftMs: ask.callerLeftMs,
+        callerLeftMs: request.callerLeftMs,
       },
       entry.cancellation,
     );
-    const acknowledge = clock.setTimer(0, () =>
+    const queuedTimer = clock.setTimer(0, () =>
       host.tell(fromHostId, entry.answer),
     );
     const outcome = await placing;
-    clock.clearTimer(acknowledge);
+    clock.clearTimer(queuedTimer);
     entry.answer = toAnswer(askId, outcome);
     if (outcome.kind === 'placed') {
-      entry.held = outcome;
-      if (entry.cancellation.isCancelled) letGo(entry);
-      clock.setTimer(HELD_FOR_MS, () => letGo(entry));
+      entry.placement = outcome;
+      if (entry.cancellation.isCancelled) releasePlacement(entry);
+      clock.setTimer(UNCONFIRMED_HOLD_MS, () => releasePlacement(entry));
     }
     host.tell(fromHostId, entry.answer);
-    clock.setTimer(REMEMBERED_MS, () => entries.delete(askId));
+    clock.setTimer(ANSWER_RETENTION_MS, () => entries.delete(askId));
   }
 
   return {
     receive(fromHostId, message) {
-      const known = hosts.get(fromHostId)?.get(message.askId);
+      const entry = requestsByHost.get(fromHostId)?.get(message.askId);
       switch (message.kind) {
         case 'ask':
-          if (known) host.tell(fromHostId, known.answer);
-          else void take(fromHostId, message);
+          if (entry) host.tell(fromHostId, entry.answer);
+          else void serve(fromHostId, message);
           return;
         case 'withdraw':
-          if (!known) return;
-          known.cancellation.cancel();
-          letGo(known);
+          if (!entry) return;
+          entry.cancellation.cancel();
+          releasePlacement(entry);
           return;
       }
     },
     adopted(hostId, askIds) {
-      const entries = hosts.get(hostId);
+      const entries = requestsByHost.get(hostId);
       if (!entries) return;
       for (const askId of askIds) {
         const entry = entries.get(askId);
-        if (entry) letGo(entry);
+        if (entry) releasePlacement(entry);
       }
     },
     forget(hostId) {
-      for (const entry of hosts.get(hostId)?.values() ?? []) {
+      for (const entry of requestsByHost.get(hostId)?.values() ?? []) {
         entry.cancellation.cancel();
-        letGo(entry);
+        releasePlacement(entry);
       }
-      hosts.delete(hostId);
+      requestsByHost.delete(hostId);
     },
   };
 }
--- a/src/relay/placement/placement_groups.ts
+++ b/src/relay/placement/placement_groups.ts
@@ -1,16 +1,19 @@
 /**
- * Divides many hosts and engines into groups, and names the host of each group
- * that places for the others.
+ * Divides hosts and engines into groups, and chooses the hosts of each group
+ * that place streams for the others (the placers) or keep the slots of plain
+ * services (the keepers).
  *
- * Few hosts tell each other everything at once, and each decides by itself.
- * With many, what they send would grow with their square, and news that is
- * some milliseconds old makes them give the same room away. So one host of a
- * group places for all of it; it and a standby hear each change at once, and
- * all others hear of it with the next repeat. Very many hosts form several
- * groups, each with its own part of the engines.
+ * A few hosts announce every change to each other and each decides by itself.
+ * With many hosts that traffic would grow with the square of their number, and
+ * hosts that decide by data some milliseconds old would reserve the same room
+ * twice. So one host of a group places for all of it. It and a standby receive
+ * each change at once; all other hosts receive it with the next periodic
+ * announcement. Very many hosts form several groups, each with its own part of
+ * the engines.
  *
- * Each host computes all this from its own lists. Lists that differ for a
- * moment cost some exactness, nothing else: an engine admits by itself.
+ * Each host computes the groups from its own lists. Lists that differ for a
+ * moment make placement less exact and do no other harm, because engines admit
+ * requests themselves.
  */
 
 import {hashText} from '../../core/hash_text.js';
@@ -27,78 +30,84 @@
 /** A live host. */
 export interface GroupMember {
   readonly hostId: string;
-  /** It serves, and is not about to leave. */
+  /** The host serves and is not about to leave. */
   readonly isReady: boolean;
 }
 
 export interface PlacementGroupsHost {
   readonly hostId: string;
   isReady(): boolean;
-  /** Live hosts, this one left out. */
+  /** Live hosts except this one. */
   peers(): readonly GroupMember[];
   engines(): readonly GroupedEngine[];
-  /** Engines that this host has promised something of. */
+  /** Engines on which this host has reserved anything. */
   usedEngineIds(): readonly string[];
 }
 
 export interface PlacementGroups {
   /**
-   * The hosts that place for this host's group, first choice first; none where
-   * each host places by itself.
+   * The placer of this host's group and its standby, in order of preference;
+   * empty where each host places by itself.
    */
   placers(): readonly string[];
   /**
-   * The hosts that keep the slots of a plain service for this host's group,
-   * first choice first; none where each host chooses by itself.
+   * The hosts that keep the slots of a plain service for this host's group, in
+   * order of preference; empty where each host chooses by itself.
    */
   keepers(service: string): readonly string[];
-  /** Groups that the hosts are divided into. */
+  /** Number of groups of hosts. */
   groupCount(): number;
-  /** Whether the peer decides about an engine that this host uses. */
+  /**
+   * Whether the peer needs this host's changes at once, because it decides
+   * about an engine that this host uses.
+   */
   isNear(peerId: string): boolean;
-  /** Whether the peer uses the same engines first. */
+  /** Whether the peer prefers the same engines as this host. */
   isMate(peerId: string): boolean;
-  /** Whether the engine is to be used before those of other groups. */
+  /** Whether this host prefers the engine over those of other groups. */
   isOwn(engineId: string): boolean;
-  /** Whether the peer uses the engine before those of other groups. */
+  /** Whether the peer prefers the engine over those of other groups. */
   isOwnOf(peerId: string, engineId: string): boolean;
   /** The lists of hosts or engines have changed. */
   refresh(): void;
 }
 
 /**
- * Most hosts of a group. Its placer takes five datagrams for each stream; with
- * 0.6 streams a second and host that is some 400 a second.
+ * The placer of a group receives five datagrams for each stream. At 0.6 streams
+ * a second for each host, a group of this size sends it some 400 a second.
  */
-const MOST_HOSTS = 128;
-/** The one that places, and a standby that has heard the same. */
+const MAX_HOSTS_PER_GROUP = 128;
+/** The placer and a standby that receives the same announcements. */
 const PLACER_COUNT = 2;
-/** The one that keeps slots, and one that takes over where it is silent. */
+/** The keeper of the slots and one that takes over when it does not answer. */
 const KEEPER_COUNT = 2;
 /**
- * Fewest decode engines of a group: with less, groups are full by chance while
+ * In groups with fewer decode engines, one group is often full by chance while
  * others have room.
  */
-const FEWEST_DECODE_ENGINES = 4;
+const MIN_DECODE_ENGINES_PER_GROUP = 4;
 
 /**
- * Deals ids out to groups of equal size, so that a change of one id moves few
- * others. Each id goes to the group that it ranks first among those with room.
+ * Assigns ids to groups of equal size such that adding or removing an id moves
+ * few others. Each id goes to the group with the highest hash score for it that
+ * still has room.
  */
-export function dealOut(
+export function assignToGroups(
   ids: readonly string[],
   groupCount: number,
 ): ReadonlyMap<string, number> {
-  const most = Math.ceil(ids.length / groupCount);
+  const maxSize = Math.ceil(ids.length / groupCount);
   const sizes = new Array<number>(groupCount).fill(0);
-  const groupOf = new Map<string, number>();
+  const groups = new Map<string, number>();
   for (const id of [...ids].sort()) {
-    const group = rankGroups(id, groupCount).find(each => sizes[each] < most);
+    const group = rankGroups(id, groupCount).find(
+      each => sizes[each] < maxSize,
+    );
     if (group === undefined) continue;
     sizes[group]++;
-    groupOf.set(id, group);
+    groups.set(id, group);
   }
-  return groupOf;
+  return groups;
 }
 
 function rankGroups(id: string, groupCount: number): readonly number[] {
@@ -109,47 +118,52 @@
   return scores.sort((a, b) => b.score - a.score).map(({group}) => group);
 }
 
-interface EnginePlace {
-  /** One of as many as the engine's service has. */
+interface EngineGroup {
+  /**
+   * Index among the `groupCount` groups into which the engine's service is
+   * divided.
+   */
   readonly group: number;
   readonly groupCount: number;
 }
 
-interface Division {
-  /** Whether each host places by itself. */
+interface Grouping {
+  /** Whether there are so few hosts that each places by itself. */
   readonly isSmall: boolean;
   readonly groupCount: number;
   readonly readyIds: readonly string[];
-  readonly groupOfHost: ReadonlyMap<string, number>;
-  readonly placeOfEngine: ReadonlyMap<string, EnginePlace>;
-  /** By group: the hosts that place for it. */
+  readonly hostGroups: ReadonlyMap<string, number>;
+  readonly engineGroups: ReadonlyMap<string, EngineGroup>;
+  /** The placer and standby of each group. */
   readonly placers: ReadonlyMap<number, readonly string[]>;
 }
 
-function placeEngines(
+function assignEngines(
   engines: readonly GroupedEngine[],
   hostGroupCount: number,
-): ReadonlyMap<string, EnginePlace> {
-  const places = new Map<string, EnginePlace>();
+): ReadonlyMap<string, EngineGroup> {
+  const engineGroups = new Map<string, EngineGroup>();
   for (const service of new Set(engines.map(each => each.service))) {
     const ofService = engines.filter(each => each.service === service);
     const decode = ofService.filter(({role}) => role === 'decode');
-    const most = Math.floor(decode.length / FEWEST_DECODE_ENGINES);
-    const groupCount = Math.max(1, Math.min(hostGroupCount, most));
+    const maxGroupCount = Math.floor(
+      decode.length / MIN_DECODE_ENGINES_PER_GROUP,
+    );
+    const groupCount = Math.max(1, Math.min(hostGroupCount, maxGroupCount));
     const others = ofService.filter(({role}) => role !== 'decode');
     for (const part of [decode, others]) {
       const ids = part.map(({id}) => id);
-      for (const [id, group] of dealOut(ids, groupCount)) {
-        places.set(id, {group, groupCount});
+      for (const [id, group] of assignToGroups(ids, groupCount)) {
+        engineGroups.set(id, {group, groupCount});
       }
     }
   }
-  return places;
+  return engineGroups;
 }
 
 function choosePlacers(
   members: readonly GroupMember[],
-  groupOfHost: ReadonlyMap<string, number>,
+  hostGroups: ReadonlyMap<string, number>,
 ): ReadonlyMap<number, readonly string[]> {
   const ranked = members
     .filter(({isReady}) => isReady)
@@ -157,7 +171,7 @@
     .sort((a, b) => a.rank - b.rank);
   const placers = new Map<number, string[]>();
   for (const {hostId} of ranked) {
-    const group = groupOfHost.get(hostId) ?? 0;
+    const group = hostGroups.get(hostId) ?? 0;
     const chosen = placers.get(group) ?? [];
     if (chosen.length < PLACER_COUNT) {
       placers.set(group, [...chosen, hostId]);
@@ -166,62 +180,70 @@
   return placers;
 }
 
-function divide(
+function computeGrouping(
   members: readonly GroupMember[],
   engines: readonly GroupedEngine[],
-): Division {
-  const groupCount = Math.ceil(members.length / MOST_HOSTS);
+): Grouping {
+  const groupCount = Math.ceil(members.length / MAX_HOSTS_PER_GROUP);
   const hostIds = members.map(({hostId}) => hostId);
-  const groupOfHost = dealOut(hostIds, groupCount);
+  const hostGroups = assignToGroups(hostIds, groupCount);
   const isSmall = isMeshOf(members.length);
   return {
     isSmall,
     groupCount,
     readyIds: members.filter(each => each.isReady).map(each => each.hostId),
-    groupOfHost,
-    placeOfEngine: placeEngines(engines, groupCount),
-    placers: isSmall ? new Map() : choosePlacers(members, groupOfHost),
+    hostGroups,
+    engineGroups: assignEngines(engines, groupCount),
+    placers: isSmall ? new Map() : choosePlacers(members, hostGroups),
   };
 }
 
 export function createPlacementGroups(
   host: PlacementGroupsHost,
 ): PlacementGroups {
-  let current: Division | undefined;
-  const keepersOf = new Map<string, readonly string[]>();
+  let current: Grouping | undefined;
+  const keepersByService = new Map<string, readonly string[]>();
 
-  function division(): Division {
+  function grouping(): Grouping {
     const self = {hostId: host.hostId, isReady: host.isReady()};
-    current ??= divide([self, ...host.peers()], host.engines());
+    current ??= computeGrouping([self, ...host.peers()], host.engines());
     return current;
   }
 
   function ownGroup(): number {
-    return division().groupOfHost.get(host.hostId) ?? 0;
+    return grouping().hostGroups.get(host.hostId) ?? 0;
   }
 
-  /** A service with fewer groups than there are of hosts shares its engines. */
-  function usesEngine(hostGroup: number, place: EnginePlace): boolean {
-    return hostGroup % place.groupCount === place.group;
+  /**
+   * If a service has fewer groups of engines than there are groups of hosts,
+   * several groups of hosts share each group of engines.
+   */
+  function prefersEngine(hostGroup: number, engineGroup: EngineGroup): boolean {
+    return hostGroup % engineGroup.groupCount === engineGroup.group;
   }
 
   function isOwnOf(hostId: string, engineId: string): boolean {
-    const {groupOfHost, placeOfEngine} = division();
-    const place = placeOfEngine.get(engineId);
-    return !place || usesEngine(groupOfHost.get(hostId) ?? 0, place);
+    const {hostGroups, engineGroups} = grouping();
+    const engineGroup = engineGroups.get(engineId);
+    return (
+      !engineGroup || prefersEngine(hostGroups.get(hostId) ?? 0, engineGroup)
+    );
   }
 
-  /** Whether the peer places for the group. */
+  /** Whether the peer is placer or standby of the group. */
   function isPlacerOf(peerId: string, group: number): boolean {
-    return division().placers.get(group)?.includes(peerId) ?? false;
+    return grouping().placers.get(group)?.includes(peerId) ?? false;
   }
 
-  /** Another host for each service, so that no host carries all of them. */
+  /**
+   * Ranks the hosts differently for each service, so that no host keeps the
+   * slots of all of them.
+   */
   function chooseKeepers(service: string): readonly string[] {
-    const {isSmall, readyIds, groupOfHost} = division();
+    const {isSmall, readyIds, hostGroups} = grouping();
     if (isSmall) return [];
     return readyIds
-      .filter(id => groupOfHost.get(id) === ownGroup())
+      .filter(id => hostGroups.get(id) === ownGroup())
       .map(id => ({id, rank: hashText(`keeper|${service}|${id}`)}))
       .sort((a, b) => a.rank - b.rank)
       .slice(0, KEEPER_COUNT)
@@ -230,28 +252,28 @@
 
   return {
     keepers(service) {
-      const known = keepersOf.get(service) ?? chooseKeepers(service);
-      keepersOf.set(service, known);
+      const known = keepersByService.get(service) ?? chooseKeepers(service);
+      keepersByService.set(service, known);
       return known;
     },
-    groupCount: () => division().groupCount,
-    placers: () => division().placers.get(ownGroup()) ?? [],
+    groupCount: () => grouping().groupCount,
+    placers: () => grouping().placers.get(ownGroup()) ?? [],
     isNear(peerId) {
-      const {isSmall, groupOfHost} = division();
+      const {isSmall, hostGroups} = grouping();
       if (isSmall) return true;
-      const group = groupOfHost.get(peerId);
+      const group = hostGroups.get(peerId);
       if (group === undefined || !isPlacerOf(peerId, group)) return false;
       if (group === ownGroup()) return true;
       return host.usedEngineIds().some(id => isOwnOf(peerId, id));
     },
     isMate(peerId) {
-      const {isSmall, groupOfHost} = division();
-      return isSmall || groupOfHost.get(peerId) === ownGroup();
+      const {isSmall, hostGroups} = grouping();
+      return isSmall || hostGroups.get(peerId) === ownGroup();
     },
     isOwn: engineId => isOwnOf(host.hostId, engineId),
     isOwnOf,
     refresh() {
-      keepersOf.clear();
+      keepersByService.clear();
       current = undefined;
     },
   };
--- a/src/relay/placement/placement_messages.ts
+++ b/src/relay/placement/placement_messages.ts
@@ -1,9 +1,12 @@
-/** What an entry and the host that places for its group tell each other. */
+/** Messages between a host and the placer of its group. */
 
-/** A stream that needs engines. Times count from when it was sent. */
+/**
+ * Requests engines for a stream. Times are relative to when the message is
+ * sent.
+ */
 export interface PlacementAsk {
   readonly kind: 'ask';
-  /** New for each stream of the asking host's life. */
+  /** Unique for each stream within one process of the requesting host. */
   readonly askId: number;
   readonly requestId: string;
   readonly service: string;
@@ -12,13 +15,16 @@
   readonly ageMs: number;
   readonly onTimeMs: number;
   readonly giveUpMs: number;
-  /** What the two times above allow for the start on the engines. */
+  /**
+   * The time that `onTimeMs` and `giveUpMs` allow between the placement and the
+   * first event.
+   */
   readonly startMs: number;
   readonly callerLeftMs: number;
 }
 
 export type PlacementAnswer =
-  /** It waits in the queue. */
+  /** The request waits in the queue. */
   | {readonly kind: 'queued'; readonly askId: number}
   | {
       readonly kind: 'placed';
@@ -33,7 +39,7 @@
       readonly retryAfterMs?: number;
     };
 
-/** The caller has gone, or the entry has found engines elsewhere. */
+/** The caller has left, or the requesting host has found engines elsewhere. */
 export interface PlacementWithdrawal {
   readonly kind: 'withdraw';
   readonly askId: number;
--- a/src/relay/placement/placement_rules.ts
+++ b/src/relay/placement/placement_rules.ts
@@ -1,43 +1,50 @@
 /**
- * Whether a request fits on a decode engine, and which engines it should get.
- * Pure; answers the load in which decode memory binds and prefill is light.
+ * Decides whether a request fits on a decode engine and which engines suit it
+ * best. Does no I/O. Written for loads in which decode memory is the bottleneck
+ * and prefill is light.
  */
 
 import type {EngineTraits} from '../../core/routing_types.js';
 import type {DecodeLoad, EngineBooks} from './engine_books.js';
 import type {Upstream} from '../../core/upstream.js';
 
-/** Tokens that a request needs at a decode engine. */
+/** Tokens that a request needs on a decode engine. */
 export interface TokenNeed {
   readonly promptTokens: number;
   readonly expectedOutputTokens: number;
 }
 
 /**
- * Runs end at different times, so that the growth still to come is never all
- * there at once. With ages spread evenly half of it would be; the rest is
- * margin for forecasts that are too short.
+ * Share of the remaining output of all runs that is assumed to be in memory at
+ * once. Runs end at different times, so it is never all there: with evenly
+ * spread ages it would be half. The rest is a margin for forecasts that are too
+ * short.
  */
-const GROWTH_AT_ONCE = 0.6;
-/** Engines count memory in blocks; some of each run's last block is lost. */
-export const USABLE_SHARE = 0.97;
-/** A transfer between failure domains takes twice as long: some 4 ms more. */
-const AWAY_PREFILL_TOKENS = 150;
+const CONCURRENT_GROWTH_SHARE = 0.6;
+/**
+ * Engines allocate memory in blocks, so part of each run's last block is
+ * unused.
+ */
+export const USABLE_KV_SHARE = 0.97;
+/** A transfer between failure domains takes twice as long, some 4 ms more. */
+const CROSS_DOMAIN_PREFILL_TOKENS = 150;
 
-/** Tokens that are free for one more request, by forecast. */
+/** Tokens that one more request may take, by forecast. */
 export function freeTokens(load: DecodeLoad, traits: EngineTraits): number {
   if (load.runs >= traits.slots) return 0;
   const growth = load.tokensAtEnd - load.tokensNow;
-  const planned = load.tokensNow + GROWTH_AT_ONCE * growth;
-  return traits.kvTokens * USABLE_SHARE - planned;
+  const planned = load.tokensNow + CONCURRENT_GROWTH_SHARE * growth;
+  return traits.kvTokens * USABLE_KV_SHARE - planned;
 }
 
-/** Tokens that a request takes of `freeTokens`. */
+/** The part of `freeTokens` that a request takes. */
 export function plannedTokens(need: TokenNeed): number {
-  return need.promptTokens + GROWTH_AT_ONCE * need.expectedOutputTokens;
+  return (
+    need.promptTokens + CONCURRENT_GROWTH_SHARE * need.expectedOutputTokens
+  );
 }
 
-/** How many such requests fit on these engines together. */
+/** How many such requests fit on these engines in total. */
 export function countRoom(
   engines: readonly Upstream[],
   books: EngineBooks,
@@ -53,13 +60,13 @@
   return count;
 }
 
-/** Prompts that may join the backlogs before all are too long. */
+/** How many prompts can join the backlogs before all of them are too long. */
 export function countPrefillRoom(
   engines: readonly Upstream[],
   books: EngineBooks,
   maxBacklogTokens: number,
 ): number {
-  // Without a prefill engine the decode engines read the prompts.
+  // Without prefill engines the decode engines prefill the prompts.
   if (engines.length === 0) return Number.POSITIVE_INFINITY;
   let count = 0;
   for (const {id} of engines) {
@@ -72,7 +79,7 @@
 }
 
 /**
- * The decode engine with most room, if the request fits there and leaves
+ * The decode engine with the most room, if the request fits there and leaves
  * `spareTokens` free.
  */
 export function pickDecode(
@@ -103,8 +110,8 @@
   let bestTokens = Number.POSITIVE_INFINITY;
   for (const engine of engines) {
     const {tokens} = books.prefillLoad(engine.id);
-    const isAway = engine.failureDomain !== decode.failureDomain;
-    const cost = tokens + (isAway ? AWAY_PREFILL_TOKENS : 0);
+    const isCrossDomain = engine.failureDomain !== decode.failureDomain;
+    const cost = tokens + (isCrossDomain ? CROSS_DOMAIN_PREFILL_TOKENS : 0);
     if (cost >= bestTokens) continue;
     best = engine;
     bestTokens = cost;
--- a/src/relay/placement/pooled_means.ts
+++ b/src/relay/placement/pooled_means.ts
@@ -1,57 +1,64 @@
 /**
- * Means of what all hosts saw lately. Each host tells sums that fade with time,
- * and adds up those of all: one of many hosts sees too few streams to learn
- * anything by itself.
+ * Means of recent observations over all hosts. Each host announces sums that
+ * decay with time and adds up those of all hosts, because a single host of many
+ * sees too few streams for a useful mean.
  */
 
 import type {Clock} from '../../ports/clock.js';
 
-/** What one host tells: how much it saw, and the sum of each value. */
+/**
+ * The observations of one host: their total weight, and the sum of each value.
+ */
 export interface FadingSums {
   readonly weight: number;
   readonly sums: readonly number[];
 }
 
 export interface PooledMeansOptions {
-  /** Means until something was seen. */
-  readonly first: readonly number[];
-  /** How many sights outweigh `first`. */
-  readonly firstWeight: number;
-  /** What was seen this long ago counts a third. */
-  readonly fadeMs: number;
+  /** Means before any observation. */
+  readonly initialMeans: readonly number[];
+  /** Weight of the initial means, as a number of observations. */
+  readonly initialWeight: number;
+  /** The weight of an observation falls to about a third after this time. */
+  readonly decayMs: number;
 }
 
 export interface PooledMeans {
-  /** One sight: a value for each mean. */
-  note(values: readonly number[]): void;
+  /** Adds an observation: one value for each mean. */
+  add(values: readonly number[]): void;
   means(): readonly number[];
-  /** What this host saw, for the others. */
-  own(): FadingSums;
-  /** What all hosts saw. */
-  total(): FadingSums;
-  hear(hostId: string, sums: FadingSums): void;
-  forget(hostId: string): void;
+  /** This host's observations, to announce to the others. */
+  ownSums(): FadingSums;
+  /** The observations of all hosts. */
+  totalSums(): FadingSums;
+  setPeer(hostId: string, sums: FadingSums): void;
+  removePeer(hostId: string): void;
 }
 
 interface TimedSums extends FadingSums {
   readonly atMs: number;
 }
 
-const DIGITS = 10;
+const ROUNDING_FACTOR = 10;
 
-const round = (value: number) => Math.round(value * DIGITS) / DIGITS;
+const round = (value: number) =>
+  Math.round(value * ROUNDING_FACTOR) / ROUNDING_FACTOR;
 
 export function createPooledMeans(
   {clock}: {readonly clock: Clock},
   options: PooledMeansOptions,
 ): PooledMeans {
-  const {first, firstWeight, fadeMs} = options;
+  const {initialMeans, initialWeight, decayMs} = options;
   const peers = new Map<string, TimedSums>();
-  let seen: TimedSums = {weight: 0, sums: first.map(() => 0), atMs: 0};
+  let ownSums: TimedSums = {
+    weight: 0,
+    sums: initialMeans.map(() => 0),
+    atMs: 0,
+  };
 
-  function faded({weight, sums, atMs}: TimedSums): TimedSums {
+  function decay({weight, sums, atMs}: TimedSums): TimedSums {
     const nowMs = clock.nowMs();
-    const rest = Math.exp((atMs - nowMs) / fadeMs);
+    const rest = Math.exp((atMs - nowMs) / decayMs);
     return {
       weight: weight * rest,
       sums: sums.map(sum => sum * rest),
@@ -60,10 +67,12 @@
   }
 
   function addUp(): FadingSums {
-    const all = [seen, ...peers.values()].map(faded);
+    const all = [ownSums, ...peers.values()].map(decay);
     return {
       weight: all.reduce((sum, each) => sum + each.weight, 0),
-      sums: first.map((_, i) => all.reduce((sum, {sums}) => sum + sums[i], 0)),
+      sums: initialMeans.map((_, i) =>
+        all.reduce((sum, {sums}) => sum + sums[i], 0),
+      ),
     };
   }
 
@@ -73,9 +82,9 @@
   });
 
   return {
-    note(values) {
-      const {weight, sums, atMs} = faded(seen);
-      seen = {
+    add(values) {
+      const {weight, sums, atMs} = decay(ownSums);
+      ownSums = {
         weight: weight + 1,
         sums: sums.map((sum, i) => sum + values[i]),
         atMs,
@@ -83,16 +92,17 @@
     },
     means() {
       const {weight, sums} = addUp();
-      return first.map(
-        (value, i) => (value * firstWeight + sums[i]) / (firstWeight + weight),
+      return initialMeans.map(
+        (value, i) =>
+          (value * initialWeight + sums[i]) / (initialWeight + weight),
       );
     },
-    own: () => toRounded(faded(seen)),
-    total: () => toRounded(addUp()),
-    hear(hostId, {weight, sums}) {
+    ownSums: () => toRounded(decay(ownSums)),
+    totalSums: () => toRounded(addUp()),
+    setPeer(hostId, {weight, sums}) {
       if (weight > 0) peers.set(hostId, {weight, sums, atMs: clock.nowMs()});
       else peers.delete(hostId);
     },
-    forget: hostId => void peers.delete(hostId),
+    removePeer: hostId => void peers.delete(hostId),
   };
 }
--- a/src/relay/placement/relay_placement.ts
+++ b/src/relay/placement/relay_placement.ts
@@ -1,6 +1,6 @@
 /**
- * What decides which engines a stream gets, put together: the books, the
- * scheduler, and the way to and from the host that places for others.
+ * Wires up the parts that choose engines for streams: the tracked loads, the
+ * scheduler, and the messages to and from the placer of the group.
  */
 
 import type {Clock} from '../../ports/clock.js';
@@ -35,14 +35,14 @@
   readonly registry: UpstreamRegistry;
   /** This host serves and is not about to leave. */
   isReady(): boolean;
-  /** Live hosts, this one left out. */
+  /** Live hosts except this one. */
   members(): readonly Member[];
-  /** This host told the engine to change its role. */
+  /** This host ordered the engine to change its role. */
   isChanging(engineId: string): boolean;
-  /** The engine takes nothing from this host for now. */
+  /** The engine takes no requests from this host for now. */
   isHeld(engineId: string): boolean;
   tell(hostId: string, message: PlacementMessage): void;
-  /** The peers should hear of a change. */
+  /** Something that is announced to the peers has changed. */
   onChange(): void;
 }
 
@@ -52,38 +52,45 @@
   readonly scheduler: EngineScheduler;
   readonly place: PlacementClient['place'];
   isNear(hostId: string): boolean;
-  /** Who keeps the slots of a plain service; none where hosts are few. */
+  /**
+   * The hosts that keep the slots of a plain service; empty where hosts are
+   * few.
+   */
   keepers(service: string): readonly string[];
   groupCount(): number;
   receive(fromHostId: string, message: PlacementMessage): void;
   heard(peer: Peer): void;
-  /** A coordinator told what all hosts know. */
+  /** Applies a coordinator's summary of what all hosts reported. */
   told(fromHostId: string, summary: Summary): void;
   gone(hostId: string): void;
-  /** The peer tells this host nothing any more. */
+  /** The peer no longer announces to this host. */
   unheard(hostId: string): void;
-  /** What this host and the peers that it hears found out. */
+  /** What this host and the peers that announce to it have reported. */
   found(own: FoundUpstreams): FoundUpstreams;
   /** This host's state, the live hosts or the configuration have changed. */
   refresh(): void;
   /** The list of upstreams was read. */
   upstreamsRead(): void;
-  /** Who waits here, for the peers. */
+  /** The requests waiting at this host, to announce to the peers. */
   waitingRecords(): readonly WaitingRecord[];
   adoptedAskIds(): readonly number[];
-  /** Whether this host places for others now. */
+  /** Whether this host is the placer of its group. */
   isPlacer(): boolean;
   /** Whether this host chooses engines, for itself or for others. */
   isPlacing(): boolean;
 }
 
-/** What coordinators tell stands under this name beside the peers. */
+/**
+ * Stands for all hosts where a coordinator's summary is stored beside the
+ * peers.
+ */
 const ALL_HOSTS = '*';
 /**
- * A host that hears the others itself from now on counts what it was told of
- * them until they all have told it themselves.
+ * A host that has just begun to receive the announcements of all others also
+ * counts the last summary for this long, until each of them has announced
+ * itself.
  */
-const TOLD_LOAD_VALID_MS = 3_000;
+const SUMMARY_LOAD_VALID_MS = 3_000;
 
 export function createRelayPlacement(host: RelayPlacementHost): RelayPlacement {
   const {clock, random, createLogger, hostId, routing, registry} = host;
@@ -134,8 +141,8 @@
     findService: routing.service,
     tell: host.tell,
   });
-  let groupedDigest: number | undefined;
-  let toldLoadAtMs: number | undefined;
+  let lastDigest: number | undefined;
+  let summaryLoadAtMs: number | undefined;
 
   function isPlacing(): boolean {
     const placers = groups.placers();
@@ -144,15 +151,15 @@
 
   function unheard(peerId: string): void {
     view.forget(peerId);
-    learning.forget(peerId);
+    learning.removePeer(peerId);
   }
 
-  function dropOldLoad(): void {
-    if (toldLoadAtMs === undefined) return;
-    if (clock.nowMs() - toldLoadAtMs < TOLD_LOAD_VALID_MS) return;
-    toldLoadAtMs = undefined;
+  function dropStaleSummary(): void {
+    if (summaryLoadAtMs === undefined) return;
+    if (clock.nowMs() - summaryLoadAtMs < SUMMARY_LOAD_VALID_MS) return;
+    summaryLoadAtMs = undefined;
     books.setPeer(ALL_HOSTS, undefined);
-    learning.forget(ALL_HOSTS);
+    learning.removePeer(ALL_HOSTS);
   }
 
   return {
@@ -171,21 +178,22 @@
       }
     },
     heard(peer) {
-      dropOldLoad();
-      view.heard(peer);
-      learning.hear(peer.hostId, peer.learned);
+      dropStaleSummary();
+      view.applyPeer(peer);
+      learning.setPeer(peer.hostId, peer.learned);
       desk.adopted(peer.hostId, peer.adoptedAskIds);
-      // A placer hears many; a few hosts go on at once.
+      // A placer receives announcements from many hosts and batches them; with
+      // few hosts the queue is processed at once.
       if (groups.placers().length > 0) scheduler.pumpSoon();
-      else scheduler.pump();
+      else scheduler.processQueue();
     },
     told(fromHostId, summary) {
-      view.told(fromHostId, summary);
-      // Who places hears by itself what the others promised.
+      view.applySummary(fromHostId, summary);
+      // A host that chooses engines receives the loads directly.
       if (isPlacing() || !summary.load) return;
-      toldLoadAtMs = clock.nowMs();
+      summaryLoadAtMs = clock.nowMs();
       books.setPeer(ALL_HOSTS, summary.load);
-      learning.hear(ALL_HOSTS, summary.learned);
+      learning.setPeer(ALL_HOSTS, summary.learned);
     },
     found: view.found,
     unheard,
@@ -193,17 +201,17 @@
       unheard(goneHostId);
       desk.forget(goneHostId);
       client.forget(goneHostId);
-      scheduler.pump();
+      scheduler.processQueue();
     },
     refresh: groups.refresh,
     upstreamsRead() {
-      // Most reads of the list bring nothing but signs of life.
-      if (registry.digest() !== groupedDigest) groups.refresh();
-      groupedDigest = registry.digest();
-      scheduler.pump();
+      // Most reads of the list change only heartbeats.
+      if (registry.digest() !== lastDigest) groups.refresh();
+      lastDigest = registry.digest();
+      scheduler.processQueue();
     },
-    waitingRecords: () => view.toRecords(scheduler.announcements()),
-    adoptedAskIds: client.adopted,
+    waitingRecords: () => view.toWaitingRecords(scheduler.announcements()),
+    adoptedAskIds: client.adoptedAskIds,
     isPlacer: () => groups.placers()[0] === hostId,
     isPlacing,
   };
--- a/src/relay/placement/shared_learning.ts
+++ b/src/relay/placement/shared_learning.ts
@@ -1,19 +1,19 @@
-/** What the hosts learn together of how the model engines work. */
+/** Statistics on the model engines that all hosts gather together. */
 
 import type {Clock} from '../../ports/clock.js';
-import {plannedTokens, USABLE_SHARE} from './placement_rules.js';
+import {plannedTokens, USABLE_KV_SHARE} from './placement_rules.js';
 import {
   createPooledMeans,
   type FadingSums,
   type PooledMeans,
 } from './pooled_means.js';
 
-/** What one host has seen, as it tells its peers. */
-export type LearnedSums = Readonly<Record<LearnedKind, FadingSums>>;
+/** The observations of one host, as announced to its peers. */
+export type LearnedSums = Readonly<Record<StatisticKind, FadingSums>>;
 
-type LearnedKind = 'starts' | 'runs' | 'prefills';
+type StatisticKind = 'starts' | 'runs' | 'prefills';
 
-/** A run that came to its end. */
+/** A run that completed. */
 export interface FinishedRun {
   readonly promptTokens: number;
   readonly outputTokens: number;
@@ -23,101 +23,107 @@
 }
 
 export interface SharedLearning {
-  /** From the placement of a stream to its first event. */
+  /** Records the time from the placement of a stream to its first event. */
   noteStart(durationMs: number): void;
-  /** From the placement of a stream to its first event, on the mean. */
+  /** Mean time from the placement of a stream to its first event. */
   meanStartMs(): number;
   noteRun(run: FinishedRun): void;
   meanRunMs(): number;
-  /** Time of a whole decode engine that a run takes, on the mean. */
+  /** Mean time of a whole decode engine that one run takes up. */
   meanDecodeMs(): number;
   meanPromptTokens(): number;
-  /** A prompt was read by an engine that had nothing else to read. */
+  /** Records a prefill on an engine that had no other prompt. */
   notePrefill(tokens: number, durationMs: number): void;
   tokensPerMs(): number;
   own(): LearnedSums;
-  /** What all hosts have seen, for those that do not hear them. */
+  /**
+   * The observations of all hosts, for those that do not receive them directly.
+   */
   total(): LearnedSums;
-  hear(hostId: string, sums: LearnedSums): void;
-  forget(hostId: string): void;
+  setPeer(hostId: string, sums: LearnedSums): void;
+  removePeer(hostId: string): void;
 }
 
-/** Assumed before anything has run; what is seen takes its place. */
-const FIRST = {
+/** Assumed until there are observations. */
+const INITIAL = {
   startMs: 250,
   decodeMs: 365,
   promptTokens: 3_200,
   runMs: 3_000,
   tokensPerMs: 33,
 };
-/** Starts change with the backlogs of a burst; what engines do, hardly. */
-const START_FADE_MS = 3_000;
-const RUN_FADE_MS = 60_000;
-const START_FIRST_WEIGHT = 2;
-/** Short runs end first, so that the first ones to end tell too little. */
-const RUN_FIRST_WEIGHT = 60;
-const PREFILL_FIRST_WEIGHT = 3;
+/**
+ * Start times change with the backlogs of a burst; the other statistics hardly
+ * change.
+ */
+const START_DECAY_MS = 3_000;
+const RUN_DECAY_MS = 60_000;
+const START_INITIAL_WEIGHT = 2;
+/** Short runs end first, so the first runs to end are not representative. */
+const RUN_INITIAL_WEIGHT = 60;
+const PREFILL_INITIAL_WEIGHT = 3;
 
 export function createSharedLearning(host: {
   readonly clock: Clock;
 }): SharedLearning {
   const starts = createPooledMeans(host, {
-    first: [FIRST.startMs],
-    firstWeight: START_FIRST_WEIGHT,
-    fadeMs: START_FADE_MS,
+    initialMeans: [INITIAL.startMs],
+    initialWeight: START_INITIAL_WEIGHT,
+    decayMs: START_DECAY_MS,
   });
   const runs = createPooledMeans(host, {
-    first: [FIRST.decodeMs, FIRST.promptTokens, FIRST.runMs],
-    firstWeight: RUN_FIRST_WEIGHT,
-    fadeMs: RUN_FADE_MS,
+    initialMeans: [INITIAL.decodeMs, INITIAL.promptTokens, INITIAL.runMs],
+    initialWeight: RUN_INITIAL_WEIGHT,
+    decayMs: RUN_DECAY_MS,
   });
   const prefills = createPooledMeans(host, {
-    first: [FIRST.tokensPerMs],
-    firstWeight: PREFILL_FIRST_WEIGHT,
-    fadeMs: RUN_FADE_MS,
+    initialMeans: [INITIAL.tokensPerMs],
+    initialWeight: PREFILL_INITIAL_WEIGHT,
+    decayMs: RUN_DECAY_MS,
   });
-  const pools: Readonly<Record<LearnedKind, PooledMeans>> = {
+  const pools: Readonly<Record<StatisticKind, PooledMeans>> = {
     starts,
     runs,
     prefills,
   };
   const each = Object.entries(pools) as ReadonlyArray<
-    readonly [LearnedKind, PooledMeans]
+    readonly [StatisticKind, PooledMeans]
   >;
 
   return {
-    noteStart: durationMs => starts.note([durationMs]),
+    noteStart: durationMs => starts.add([durationMs]),
     meanStartMs: () => starts.means()[0],
     noteRun({promptTokens, outputTokens, durationMs, kvTokens}) {
-      // As admission counts it: by the mean of what it holds a decode engine
-      // seemed to take a fifth more runs than it is given.
+      // Counts memory as admission does. Computed from the mean memory that a
+      // run holds, a decode engine seemed to fit a fifth more runs than it is
+      // given.
       const need = {promptTokens, expectedOutputTokens: outputTokens};
-      const usable = kvTokens * USABLE_SHARE;
+      const usable = kvTokens * USABLE_KV_SHARE;
       const share = usable > 0 ? plannedTokens(need) / usable : 1;
-      runs.note([share * durationMs, promptTokens, durationMs]);
+      runs.add([share * durationMs, promptTokens, durationMs]);
     },
     meanDecodeMs: () => runs.means()[0],
     meanPromptTokens: () => runs.means()[1],
     meanRunMs: () => runs.means()[2],
     notePrefill(tokens, durationMs) {
-      if (durationMs > 0 && tokens > 0) prefills.note([tokens / durationMs]);
+      if (durationMs > 0 && tokens > 0) prefills.add([tokens / durationMs]);
     },
     tokensPerMs: () => prefills.means()[0],
     own: () => ({
-      starts: starts.own(),
-      runs: runs.own(),
-      prefills: prefills.own(),
+      starts: starts.ownSums(),
+      runs: runs.ownSums(),
+      prefills: prefills.ownSums(),
     }),
     total: () => ({
-      starts: starts.total(),
-      runs: runs.total(),
-      prefills: prefills.total(),
+      starts: starts.totalSums(),
+      runs: runs.totalSums(),
+      prefills: prefills.totalSums(),
     }),
-    hear(hostId, sums) {
-      for (const [kind, pool] of each) pool.hear(hostId, sums[kind]);
+    setPeer(hostId, sums) {
+      for (const [kind, pool] of each) pool.setPeer(hostId, sums[kind]);
     },
-    forget(hostId) {
-      for (const [, pool] of each) pool.forget(hostId);
+    removePeer(hostId) {
+      for (const [, pool] of each) pool.removePeer(hostId);
     },
   };
 }
--- a/src/relay/placement/wait_rules.ts
+++ b/src/relay/placement/wait_rules.ts
@@ -1,42 +1,45 @@
 /**
- * Who waits, who goes first and who is refused when engines are full. Pure.
+ * Decides which requests wait, in which order they are served, and which are
+ * refused when engines are full. Does no I/O.
  *
- * A stream earns most when its first event comes within the route's goal, and
- * its caller leaves when it sees no event for a few seconds. So requests that
- * can still be on time go first, by age; late ones take what is left; and a
- * request whose turn would come after its caller has left is refused at once,
- * with the time at which there should be room.
+ * A stream is worth most when its first event meets the route's goal, and a
+ * caller leaves after a few seconds without an event. So requests that can
+ * still be on time go first, late ones use the remaining room, and a request
+ * whose turn would come after its caller has left is refused at once with the
+ * time when room is expected.
  */
 
 import type {Route} from '../../core/routing_types.js';
 
-/** A waiting request as all hosts see it. */
+/** A waiting request, with the times that all hosts compare. */
 export interface Waiting {
   readonly arrivedAtMs: number;
-  /** Latest start at which the first event is still on time. */
+  /** Latest start for which the first event is on time. */
   readonly onTimeUntilMs: number;
-  /** Latest start at which the caller is still there. */
+  /** Latest start for which the caller is still waiting. */
   readonly giveUpAtMs: number;
 }
 
-/** Callers leave a stream after a gap of the longest of these. */
-const PATIENCE_MS = 2_000;
-const PATIENCE_GOALS = 4;
-const PATIENCE_GAPS = 8;
-/** For the way to the caller and a slow first step. */
+/** Callers leave a stream after a gap of the longest of these three. */
+const MIN_PATIENCE_MS = 2_000;
+const PATIENCE_GOAL_FACTOR = 4;
+const PATIENCE_GAP_FACTOR = 8;
+/** Covers the delivery to the caller and a slow first decode step. */
 const PATIENCE_MARGIN_MS = 250;
-/** A refusal spreads those who come back over this share of the wait. */
-const RETURN_SPREAD = 0.5;
+/** Retry times are spread over this share of the wait. */
+const RETRY_SPREAD = 0.5;
 const MIN_RETRY_AFTER_MS = 150;
-/** Of the caller's time, the part that it will spend on waiting to return. */
-const RETURN_SHARE = 1 / 3;
+/**
+ * Limit of the retry delay, as a share of the time that the caller still waits.
+ */
+const MAX_RETRY_SHARE = 1 / 3;
 
 /** How long a caller waits for the first event of a stream. */
 export function patienceMs(route: Route): number {
   return Math.max(
-    PATIENCE_MS,
-    PATIENCE_GOALS * route.goalMs,
-    PATIENCE_GAPS * route.gapGoalMs,
+    MIN_PATIENCE_MS,
+    PATIENCE_GOAL_FACTOR * route.goalMs,
+    PATIENCE_GAP_FACTOR * route.gapGoalMs,
   );
 }
 
@@ -44,7 +47,7 @@
   readonly route: Route;
   readonly arrivedAtMs: number;
   readonly deadlineAtMs: number;
-  /** From the start on engines to the first event. */
+  /** From the placement on engines to the first event. */
   readonly startMs: number;
 }
 
@@ -63,9 +66,9 @@
 }
 
 /**
- * Order of service: on time before late; those on time by their latest start,
- * the late ones by age. By age alone calls with a short goal would fall behind
- * those with a longer one as soon as they are late.
+ * Order of service: requests that can be on time before late ones, the former
+ * by their latest start and the latter by age. By age alone, late calls with a
+ * short goal would fall behind calls with a longer one.
  */
 export function compareWaiting(a: Waiting, b: Waiting, nowMs: number): number {
   const isLateA = !isOnTime(a, nowMs);
@@ -77,17 +80,20 @@
 }
 
 export interface ServiceRate {
-  /** Streams that run on all engines. */
+  /** Streams running on all engines. */
   readonly runs: number;
   readonly meanRunMs: number;
 }
 
-/** When the request behind `ahead` others should find room. */
+/** Forecasts when a request behind `ahead` others will find room. */
 export function forecastWaitMs(ahead: number, rate: ServiceRate): number {
   return ((ahead + 1) * rate.meanRunMs) / Math.max(1, rate.runs);
 }
 
-/** Undefined when the request may wait, else when it should come back. */
+/**
+ * Undefined if the request may wait; otherwise the delay after which it should
+ * be retried.
+ */
 export function findRetryAfterMs(
   waiting: Waiting,
   waitMs: number,
@@ -96,13 +102,15 @@
   return nowMs + waitMs > waiting.giveUpAtMs ? waitMs : undefined;
 }
 
-/** A time to come back that spreads the callers, within what they accept. */
+/**
+ * A retry delay that spreads the callers, within the time that they still wait.
+ */
 export function spreadRetryAfterMs(
   waitMs: number,
   callerLeftMs: number,
-  draw: number,
+  random: number,
 ): number {
-  const spread = waitMs * (1 + RETURN_SPREAD * draw);
-  const most = callerLeftMs * RETURN_SHARE;
+  const spread = waitMs * (1 + RETRY_SPREAD * random);
+  const most = callerLeftMs * MAX_RETRY_SHARE;
   return Math.max(MIN_RETRY_AFTER_MS, Math.min(spread, most));
 }
--- a/tests/relay/placement/burst_load.ts
+++ b/tests/relay/placement/burst_load.ts
@@ -1,10 +1,11 @@
 /**
- * A burst of streams played in virtual time: several hosts with their own
- * schedulers, and a small model of the engines. It tells what callers get.
+ * Simulates a burst of streams in virtual time, with several hosts that each
+ * run a scheduler and a simple model of the engines. Returns what the callers
+ * see.
  *
- * The figures of the engines are those of the users' sheets: a prompt is read
- * at 33 tokens a ms, one after another; a run makes a token each 2.8 ms and
- * holds its prompt and what it has made.
+ * Engine figures are those of the users' data sheets: prompts are prefilled one
+ * after another at 33 tokens a ms; a run produces a token each 2.8 ms and holds
+ * its prompt and its output so far.
  */
 
 import type {Route, Service} from '../../../src/core/routing_types.js';
@@ -39,11 +40,11 @@
   readonly calmPerS: number;
   readonly burstPerS: number;
   readonly burstMs: number;
-  /** Whether many hosts use engines by groups; they do by default. */
+  /** Whether many hosts use engines by groups; true by default. */
   readonly hasGroups?: boolean;
-  /** How long hosts gather changes before they tell of them. */
+  /** How long hosts collect changes before they announce them. */
   readonly announceMs?: number;
-  /** Hosts that do not answer what they are asked. */
+  /** Hosts that do not answer requests. */
   readonly silentHosts?: readonly string[];
 }
 
@@ -51,9 +52,9 @@
   readonly onTime: number;
   readonly late: number;
   readonly refused: number;
-  /** Most that any engine held, as a share of its memory. */
+  /** Most memory that any engine held, as a share of its capacity. */
   readonly highestUse: number;
-  /** Longest that a request was held and then refused. */
+  /** Longest time that a request waited before it was refused. */
   readonly longestHeldMs: number;
 }
 
@@ -64,9 +65,9 @@
 const CALM_MS = 3_000;
 const DRAIN_MS = 16_000;
 const ANNOUNCE_MS = 6;
-/** A datagram between failure domains. */
+/** Delay of a datagram between failure domains. */
 const MESSAGE_MS = 3;
-/** How often hosts of other groups hear of each other, for each host. */
+/** Period of the announcements to hosts of other groups, for each host. */
 const REPEAT_PER_HOST_MS = 12;
 const GOAL_MS = 900;
 const TOKENS_PER_EVENT = 18;
@@ -99,7 +100,7 @@
   isPublic: false,
 };
 
-/** The host that places for the others, which a test may silence. */
+/** The placer, so that a test can silence it. */
 export function placersOf({hostCount}: BurstOptions): readonly string[] {
   const groups = createPlacementGroups({
     hostId: 'host-0',
@@ -115,7 +116,9 @@
   return groups.placers().slice(0, 1);
 }
 
-export async function playBurst(options: BurstOptions): Promise<BurstResult> {
+export async function simulateBurst(
+  options: BurstOptions,
+): Promise<BurstResult> {
   const clock = createVirtualClock(10_000);
   const random = createSeededRandom(options.seed);
   const held = new Map<string, number>();
@@ -240,23 +243,23 @@
         routingAges: {readAgeMs: 0, ageMs: 0},
         isStoreReachable: true,
         load: books.own(),
-        waiting: view.toRecords(scheduler.announcements()),
+        waiting: view.toWaitingRecords(scheduler.announcements()),
         suspects: [],
         full: [],
         unreachable: [],
         changing: [],
         learned: learning.own(),
         losses: [],
-        adoptedAskIds: client.adopted(),
+        adoptedAskIds: client.adoptedAskIds(),
         spending: [],
         aliveMs: 0,
       };
       for (const other of hosts) {
         if (other.hostId === hostId || !isReached(other.hostId)) continue;
-        other.view.heard(peer);
+        other.view.applyPeer(peer);
         other.desk.adopted(hostId, peer.adoptedAskIds);
         if (other.groups.placers().length > 0) other.scheduler.pumpSoon();
-        else other.scheduler.pump();
+        else other.scheduler.processQueue();
       }
     }
 
@@ -269,7 +272,7 @@
       clock.setTimer(durationMs, resolve);
     });
 
-  /** Reads the prompt behind those that came before it. */
+  /** Prefills the prompt after those that came before it. */
   async function read(engineId: string, tokens: number): Promise<void> {
     const nowMs = clock.nowMs();
     const startMs = Math.max(nowMs, readerFreeAtMs.get(engineId) ?? 0);
--- a/tests/relay/placement/engine_probation_test.ts
+++ b/tests/relay/placement/engine_breaker_test.ts
@@ -2,7 +2,7 @@
 import {test} from 'node:test';
 import {createVirtualClock} from '../../../src/core/virtual_clock.js';
 import {createCancellation} from '../../../src/relay/front/cancellation.js';
-import {createEngineProbation} from '../../../src/relay/placement/engine_probation.js';
+import {createEngineBreaker} from '../../../src/relay/placement/engine_breaker.js';
 import {makeLoneScheduler, makeService} from './lone_scheduler.js';
 import {revisionAt} from '../../support/store_revisions.js';
 
@@ -10,8 +10,11 @@
 const FAILS_AFTER_MS = 150;
 const RUN_MS = 2_500;
 
-/** Streams that arrive one by one at eight engines, one of which fails all. */
-async function playFailingEngine(streamsPerS: number, durationMs: number) {
+/**
+ * Streams that arrive one by one at eight decode engines, one of which fails
+ * every stream.
+ */
+async function simulateFailingEngine(streamsPerS: number, durationMs: number) {
   const clock = createVirtualClock(1_000);
   const ids = ['p1', 'p2', ...Array.from({length: 8}, (_, i) => `d${i}`)];
   const {scheduler} = makeLoneScheduler(clock, ids);
@@ -52,54 +55,54 @@
   return failed;
 }
 
-test('an engine that fails all it gets costs few streams', async () => {
-  // Guards against the emptiest engine drawing all streams each time that it
-  // is tried again.
-  const failed = await playFailingEngine(16, 12_000);
+test('an engine that fails all requests costs few streams', async () => {
+  // Guards against the least loaded engine getting all streams each time it is
+  // readmitted.
+  const failed = await simulateFailingEngine(16, 12_000);
   assert.ok(failed <= 8, `${failed} streams`);
 });
 
-test('one request at a time tries an engine that failed', async () => {
+test('an engine that failed gets one trial request at a time', async () => {
   const clock = createVirtualClock(1_000);
-  const probation = createEngineProbation({clock});
-  assert.equal(probation.mayUse('d1', 'failing'), false);
-  assert.equal(probation.mayUse('d1', 'none'), true);
-  probation.notePlaced('d1');
-  assert.equal(probation.mayUse('d1', 'none'), false);
+  const breaker = createEngineBreaker({clock});
+  assert.equal(breaker.mayUse('d1', 'failing'), false);
+  assert.equal(breaker.mayUse('d1', 'none'), true);
+  breaker.recordPlacement('d1');
+  assert.equal(breaker.mayUse('d1', 'none'), false);
   await clock.advance(1_100);
-  assert.equal(probation.mayUse('d1', 'none'), true);
-  probation.notePlaced('d1');
-  assert.equal(probation.mayUse('d1', 'none'), true);
+  assert.equal(breaker.mayUse('d1', 'none'), true);
+  breaker.recordPlacement('d1');
+  assert.equal(breaker.mayUse('d1', 'none'), true);
 });
 
-test('an engine that fails its trials is left out longer each time', async () => {
+test('an engine that fails its trial requests is excluded longer each time', async () => {
   const clock = createVirtualClock(1_000);
-  const probation = createEngineProbation({clock});
+  const breaker = createEngineBreaker({clock});
   const outMs: number[] = [];
   for (let i = 0; i < 3; i++) {
-    probation.mayUse('d1', 'failing');
+    breaker.mayUse('d1', 'failing');
     const fromMs = clock.nowMs();
-    while (!probation.mayUse('d1', 'none')) await clock.advance(50);
+    while (!breaker.mayUse('d1', 'none')) await clock.advance(50);
     outMs.push(clock.nowMs() - fromMs);
-    probation.notePlaced('d1');
+    breaker.recordPlacement('d1');
   }
   assert.ok(outMs[0] < outMs[1] && outMs[1] < outMs[2], `${outMs}`);
-  assert.equal(probation.isRepeating('d1'), true);
+  assert.equal(breaker.isRepeating('d1'), true);
 });
 
-test('an engine that was full once is used as before', () => {
+test('an engine that was full once gets requests as before', () => {
   const clock = createVirtualClock(1_000);
-  const probation = createEngineProbation({clock});
-  probation.mayUse('d1', 'full');
+  const breaker = createEngineBreaker({clock});
+  breaker.mayUse('d1', 'full');
   for (let i = 0; i < 3; i++) {
-    assert.equal(probation.mayUse('d1', 'none'), true);
-    probation.notePlaced('d1');
+    assert.equal(breaker.mayUse('d1', 'none'), true);
+    breaker.recordPlacement('d1');
   }
 });
 
-test('an engine of another role than the list says gets nothing more', async () => {
-  // Guards against prompts that are read in vain for seconds: the store is
-  // down, and the list shows the role before a change.
+test('an engine whose role differs from the list gets no more requests', async () => {
+  // Guards against prompts prefilled in vain for seconds: in a store outage the
+  // list shows an engine's role from before a change.
   const clock = createVirtualClock(1_000);
   const ids = ['p1', 'd1', 'd2'];
   const {scheduler, registry} = makeLoneScheduler(clock, ids);
@@ -127,9 +130,10 @@
   assert.deepEqual(scheduler.inOtherRole(), []);
 });
 
-test('a host that books what another host chose tells of engines that fail', () => {
-  // Guards against failures that no host counts: the one that places sends
-  // nothing itself, and the others knew no engine until they placed by themselves.
+test('a host that reserves engines chosen by a placer reports those that fail', () => {
+  // Guards against failures that no host reports: a placer sends no requests to
+  // engines itself, and the other hosts tracked no engine until they placed by
+  // themselves.
   const clock = createVirtualClock(1_000);
   const {scheduler, registry} = makeLoneScheduler(clock, ['p1', 'd1', 'd2']);
   const need = {
@@ -141,7 +145,7 @@
     waiting: {arrivedAtMs: 0, onTimeUntilMs: 9_000, giveUpAtMs: 9_000},
     callerLeftMs: 14_000,
   };
-  scheduler.bookChosen(need, {decode: registry.get('d1')!});
+  scheduler.reserveChosen(need, {decode: registry.get('d1')!});
   scheduler.noteFailure('d1');
   assert.deepEqual(scheduler.suspects(), ['d1']);
 });
--- a/tests/relay/placement/engine_scheduler_test.ts
+++ b/tests/relay/placement/engine_scheduler_test.ts
@@ -124,10 +124,10 @@
     : outcome.kind;
 }
 
-test('prompts placed in one moment go to different prefill engines', async () => {
-  // Streams start late though other prefill engines are idle: several
-  // requests are placed in one turn, and each saw the backlog as it was before
-  // the first, for prompts were booked only once their call had begun.
+test('prompts placed in the same turn go to different prefill engines', async () => {
+  // Guards against streams that start late while prefill engines are idle:
+  // requests placed in the same turn all saw the backlog from before the first,
+  // because a prompt was reserved only once its call had begun.
   const {clock, scheduler} = makeScheduler(['p1', 'p2', 'p3', 'd1', 'd2']);
   const need = makeNeed(clock.nowMs());
   const outcomes = await Promise.all(
@@ -137,9 +137,10 @@
   assert.deepEqual([...prefills].sort(), ['p1', 'p2', 'p3']);
 });
 
-test('room that shows to all hosts is left to those who came first', async () => {
-  // Engines get three times what they hold: memory becomes free, every host
-  // sees it at once, and each gives it to the first of its own queue.
+test('room that all hosts see is left to the requests that come first', async () => {
+  // Guards against engines reserved up to three times: when memory becomes
+  // free, every host sees it at once and each gives it to the first request of
+  // its own queue.
   const {clock, books, scheduler, setPeers} = makeScheduler(['p1', 'd1']);
   const nowMs = clock.nowMs();
   const run = books.startRun({
@@ -169,8 +170,8 @@
 });
 
 test('a request whose turn would come too late is refused at once', async () => {
-  // A caller waits until it leaves, and only then learns that there was no
-  // room: its turn could be forecast when it came.
+  // Guards against callers that wait until they leave although it could be
+  // forecast on arrival that no room would be free in time.
   const {clock, books, scheduler, setPeers} = makeScheduler(['p1', 'd1']);
   const nowMs = clock.nowMs();
   books.startRun({
@@ -193,7 +194,7 @@
   assert.ok((outcome.error.retryAfterMs ?? 0) <= 14_000 / 3);
 });
 
-test('those who can still be on time go before those who are late', async () => {
+test('requests that can still be on time go before late ones', async () => {
   const {clock, books, scheduler} = makeScheduler(['p1', 'd1']);
   const nowMs = clock.nowMs();
   const run = books.startRun({
@@ -221,7 +222,7 @@
   assert.equal((await late).kind, 'refused');
 });
 
-test('a request that waits is given up before its caller leaves', async () => {
+test('a waiting request is refused before its caller leaves', async () => {
   const {clock, books, scheduler} = makeScheduler(['p1', 'd1']);
   books.startRun({
     engineId: 'd1',
@@ -235,7 +236,7 @@
   assert.equal(scheduler.announcements().length, 0);
 });
 
-test('a caller that leaves gives its place up', async () => {
+test('a caller that leaves frees its place in the queue', async () => {
   const {clock, books, scheduler} = makeScheduler(['p1', 'd1']);
   books.startRun({
     engineId: 'd1',
@@ -250,14 +251,19 @@
   assert.equal(scheduler.announcements().length, 0);
 });
 
-test('an engine that failed a request is used once the sound ones are full', async () => {
-  // Callers wait and leave in a burst though an engine has room: it lost one
-  // answer a moment ago, and is left out like one that loses all.
+test('an engine that failed a request is used once the healthy ones are full', async () => {
+  // Guards against callers that wait and leave in a burst although an engine
+  // has room: an engine that had just lost one answer was excluded like one
+  // that loses all.
   const {clock, books, scheduler} = makeScheduler(['p1', 'd1', 'd2']);
   const place = () => scheduler.place(makeNeed(clock.nowMs()), alive);
   assert.equal((await place()).kind, 'placed');
   scheduler.noteFailure('d2');
-  assert.equal(placedOn(await place()), 'p1>d1', 'while the sound has room');
+  assert.equal(
+    placedOn(await place()),
+    'p1>d1',
+    'while the healthy engine has room',
+  );
   books.startRun({
     engineId: 'd1',
     promptTokens: 4_000,
@@ -266,27 +272,29 @@
   assert.equal(placedOn(await place()), 'p1>d2');
 });
 
-test('a prefill engine that lost an answer reads on once the sound ones are behind', async () => {
-  // Callers wait in a burst while decode engines are half empty: two of three
-  // prefill engines lost an answer and were left out, and the third read
-  // every prompt, 13 a second of 28.
+test('a prefill engine that lost an answer is used once the healthy ones have long backlogs', async () => {
+  // Guards against callers that wait in a burst while the decode engines are
+  // half empty: two of three prefill engines had lost an answer and were
+  // excluded, and the third prefilled only 13 of 28 prompts a second.
   const engines = ['p1', 'p2', 'd1', 'd2', 'd3', 'd4'];
   const {clock, scheduler} = makeScheduler(engines);
   const place = async () =>
     placedOn(await scheduler.place(makeNeed(clock.nowMs()), alive));
-  // Engines are known, and may fail, once they were looked at.
+  // An engine is tracked, and can be reported as failing, once it was
+  // considered.
   await place();
   scheduler.noteFailure('p1');
-  const readers: string[] = [];
-  for (let i = 0; i < 7; i++) readers.push((await place()).slice(0, 2));
-  assert.deepEqual(readers.slice(0, 4), ['p2', 'p2', 'p2', 'p2']);
-  assert.ok(readers.includes('p1'), readers.join());
+  const prefills: string[] = [];
+  for (let i = 0; i < 7; i++) prefills.push((await place()).slice(0, 2));
+  assert.deepEqual(prefills.slice(0, 4), ['p2', 'p2', 'p2', 'p2']);
+  assert.ok(prefills.includes('p1'), prefills.join());
 });
 
-test('an engine that goes on refusing is left out longer each time', async () => {
-  // An engine changes its role seconds after the order, while the list and the
-  // books show an empty decode engine. Each stream was sent there first, was
-  // refused, and its prompt was read in vain: 348,000 tokens on one day.
+test('an engine that keeps refusing requests is excluded longer each time', async () => {
+  // Guards against prompts prefilled in vain, 348,000 tokens on one day: an
+  // engine changes its role seconds after the order, while the list and the
+  // loads still show an empty decode engine, so each stream was sent there
+  // first and refused.
   const {clock, scheduler} = makeScheduler(['p1', 'd1', 'd2']);
   const refusedAt: number[] = [];
   for (let i = 0; i < 240; i++) {
@@ -306,9 +314,9 @@
   assert.equal(outcome.kind, 'placed');
 });
 
-test('an engine that refuses a peer is left out here, too', async () => {
-  // The host that places for others never sends to an engine itself: it gave
-  // the room of an engine that refuses to each stream of 68 hosts.
+test('an engine that refuses requests of a peer is excluded', async () => {
+  // Guards against a placer that never sends to engines itself and so assigned
+  // the room of an engine that refuses requests to each stream of 68 hosts.
   const {clock, scheduler, setFullAtPeers} = makeScheduler(['p1', 'd1', 'd2']);
   setFullAtPeers('d2');
   for (let i = 0; i < 3; i++) {
--- a/tests/relay/placement/fresh_hosts_test.ts
+++ b/tests/relay/placement/fresh_hosts_test.ts
@@ -6,19 +6,19 @@
 import {makeLoneScheduler, makeService} from './lone_scheduler.js';
 
 const HOSTS = 40;
-const READERS = ['p1', 'p2', 'p3', 'p4', 'p5', 'p6', 'p7', 'p8'];
-const DECODERS = Array.from({length: 20}, (_, i) => `d${i}`);
+const PREFILL_IDS = ['p1', 'p2', 'p3', 'p4', 'p5', 'p6', 'p7', 'p8'];
+const DECODE_IDS = Array.from({length: 20}, (_, i) => `d${i}`);
 
 test('hosts that have just started spread their first streams', async () => {
-  // Guards against hosts whose books are all empty and that all take the same
-  // engine first: after a restart of all, one engine had 68 runs.
+  // Guards against hosts without any load data that all choose the same engine
+  // first: after all hosts restarted, one engine had 68 runs.
   const clock = createVirtualClock(1_000);
   const counts = new Map<string, number>();
   const random = createSeededRandom(5);
   for (let i = 0; i < HOSTS; i++) {
     const {scheduler} = makeLoneScheduler(
       clock,
-      [...READERS, ...DECODERS],
+      [...PREFILL_IDS, ...DECODE_IDS],
       random,
     );
     const need = {
@@ -38,6 +38,12 @@
   }
   const mostOf = (ids: readonly string[]) =>
     Math.max(...ids.map(id => counts.get(id) ?? 0));
-  assert.ok(mostOf(DECODERS) <= 8, `${mostOf(DECODERS)} runs on one engine`);
-  assert.ok(mostOf(READERS) <= 14, `${mostOf(READERS)} prompts at one engine`);
+  assert.ok(
+    mostOf(DECODE_IDS) <= 8,
+    `${mostOf(DECODE_IDS)} runs on one engine`,
+  );
+  assert.ok(
+    mostOf(PREFILL_IDS) <= 14,
+    `${mostOf(PREFILL_IDS)} prompts at one engine`,
+  );
 });
--- a/tests/relay/placement/lone_scheduler.ts
+++ b/tests/relay/placement/lone_scheduler.ts
@@ -1,4 +1,4 @@
-/** A host's own scheduler, in virtual time, that hears nothing of peers. */
+/** The scheduler of a single host without peers, in virtual time. */
 
 import type {Service} from '../../../src/core/routing_types.js';
 import {createSeededRandom} from '../../../src/core/seeded_random.js';
@@ -27,7 +27,7 @@
   };
 }
 
-/** An engine whose role shows in its id: `p1` reads prompts, `d1` decodes. */
+/** The id determines the role: `p1` prefills, `d1` decodes. */
 export function makeEngine(id: string): Upstream {
   return {
     id,
--- a/tests/relay/placement/one_group.ts
+++ b/tests/relay/placement/one_group.ts
@@ -1,4 +1,7 @@
-/** All hosts share all engines, as in a deployment of few hosts. */
+/**
+ * A single group in which all hosts share all engines, as in a deployment of
+ * few hosts.
+ */
 
 import type {PlacementGroups} from '../../../src/relay/placement/placement_groups.js';
 
--- a/tests/relay/placement/placement_client_test.ts
+++ b/tests/relay/placement/placement_client_test.ts
@@ -17,7 +17,7 @@
 
 const MESSAGE_MS = 3;
 
-/** An entry and two placers whose messages take 3 ms or are lost. */
+/** A requesting host and two placers; messages take 3 ms or are lost. */
 function makeGroup(engineIds: readonly string[] = ['p1', 'd1']) {
   const clock = createVirtualClock(1_000);
   const silent = new Set<string>();
@@ -100,7 +100,7 @@
   };
 }
 
-/** What a promise has come to so far. */
+/** Exposes the outcome of a promise once it has settled. */
 function watch(promise: Promise<PlacementOutcome>) {
   const state: {outcome?: PlacementOutcome} = {};
   void promise.then(outcome => {
@@ -112,21 +112,22 @@
 const kindOf = ({outcome}: {readonly outcome?: PlacementOutcome}) =>
   outcome?.kind;
 
-test('the placer chooses, the entry books, and the room counts once', async () => {
+test('a placement counts once in the load of placer and requesting host', async () => {
   const {clock, entry, first} = makeGroup();
   const need = makeNeed(clock.nowMs());
   const asked = watch(entry.client.place(need, createCancellation()));
   await clock.advance(10);
   assert.equal(asked.outcome?.kind, 'placed');
   assert.equal(entry.books.decodeLoad('d1').runs, 1);
-  // Until the entry's announcement comes, the placer holds the room itself.
+  // Until the requesting host announces the run, the placer counts it in its
+  // own load.
   assert.equal(first.books.decodeLoad('d1').runs, 1);
   first.books.setPeer('entry', entry.books.own());
-  first.desk.adopted('entry', entry.client.adopted());
+  first.desk.adopted('entry', entry.client.adoptedAskIds());
   assert.equal(first.books.decodeLoad('d1').runs, 1);
 });
 
-test('a lost answer is given again, for the same engines', async () => {
+test('a lost answer is repeated with the same engines', async () => {
   const {clock, entry, first, loseAnswers} = makeGroup();
   loseAnswers(1);
   const need = makeNeed(clock.nowMs());
@@ -136,24 +137,24 @@
   assert.equal(first.books.decodeLoad('d1').runs, 1);
 });
 
-test('a placer that is frozen is passed over for its standby', async () => {
-  // Streams start seconds late: the host that places for all froze, and the
-  // others notice only after three of its repeats.
+test('a frozen placer is skipped and its standby is asked', async () => {
+  // Guards against streams that start seconds late because the placer froze:
+  // its peers notice only after three missed announcements.
   const {clock, entry, silent, sent} = makeGroup();
   silent.add('first');
   const need = makeNeed(clock.nowMs());
   const asked = watch(entry.client.place(need, createCancellation()));
   await clock.advance(400);
   assert.equal(asked.outcome?.kind, 'placed');
-  // The next stream does not wait for it again.
+  // The next stream skips the silent placer.
   sent.length = 0;
   void entry.client.place(makeNeed(clock.nowMs()), createCancellation());
   assert.equal(sent[0].to, 'standby');
 });
 
-test('an engine that leaves is not used on the word of a placer', async () => {
-  // Prompts reach an engine that leaves, from a host that knows it: the host
-  // that places for all has an older list.
+test('an engine that is leaving is not used even if the placer chooses it', async () => {
+  // Guards against prompts sent to an engine that is leaving, by a host that
+  // knows it, because the placer has an older list.
   const {clock, entry} = makeGroup(['p1', 'p2', 'd1']);
   for (const leaving of ['p1', 'p2']) {
     const upstreams = ['p1', 'p2', 'd1'].map(id => ({
@@ -173,7 +174,7 @@
   }
 });
 
-test('with no placer that answers the entry decides by itself', async () => {
+test('a host decides by itself when no placer answers', async () => {
   const {clock, entry, silent} = makeGroup();
   silent.add('first').add('standby');
   const need = makeNeed(clock.nowMs());
@@ -182,7 +183,7 @@
   assert.equal(asked.outcome?.kind, 'placed');
 });
 
-test('one that waits at the placer gets the room that another frees', async () => {
+test('a request that waits at the placer gets the room that another frees', async () => {
   const {clock, entry, first} = makeGroup();
   const run = first.books.startRun({
     engineId: 'd1',
@@ -198,7 +199,7 @@
   assert.equal(asked.outcome?.kind, 'placed');
 });
 
-test('a placer that dies with a queue is no end for those who wait in it', async () => {
+test('requests in the queue of a placer that dies are placed elsewhere', async () => {
   const {clock, entry, first, silent} = makeGroup();
   first.books.startRun({
     engineId: 'd1',
@@ -231,7 +232,7 @@
   assert.equal(first.scheduler.announcements().length, 0);
 });
 
-test('room that was given to an entry that died is free again', async () => {
+test('room reserved for a host that died is freed', async () => {
   const {clock, entry, first} = makeGroup();
   void entry.client.place(makeNeed(clock.nowMs()), createCancellation());
   await clock.advance(10);
--- a/tests/relay/placement/placement_groups_test.ts
+++ b/tests/relay/placement/placement_groups_test.ts
@@ -2,7 +2,7 @@
 import {test} from 'node:test';
 import {
   createPlacementGroups,
-  dealOut,
+  assignToGroups,
   type GroupedEngine,
 } from '../../../src/relay/placement/placement_groups.js';
 
@@ -41,14 +41,14 @@
   });
 }
 
-test('few hosts share all engines and tell each other everything', () => {
+test('few hosts share all engines and announce every change to each other', () => {
   const hosts = makeIds('host', 9);
   const groups = makeGroups('host-3', hosts, makeEngines(9, 4));
   assert.ok(hosts.every(id => groups.isNear(id) && groups.isMate(id)));
   assert.ok(makeEngines(9, 4).every(({id}) => groups.isOwn(id)));
 });
 
-test('all hosts of a group ask the same host, and a standby after it', () => {
+test('all hosts of a group have the same placer and standby', () => {
   const hosts = makeIds('host', 90);
   const engines = makeEngines(50, 13);
   const named = new Set(
@@ -74,7 +74,7 @@
   assert.equal(groups.placers()[0], standby);
 });
 
-test('each engine of a very large deployment is used first by one group', () => {
+test('each engine of a very large deployment is preferred by one group', () => {
   const hosts = makeIds('host', 300);
   const engines = makeEngines(150, 45);
   const users = new Map<string, number>();
@@ -87,7 +87,7 @@
   for (const {id} of engines) assert.equal(users.get(id), 100, id);
 });
 
-test('a host that borrows an engine tells the placer of the group that uses it first', () => {
+test('a host that uses an engine of another group updates the placer of that group at once', () => {
   const hosts = makeIds('host', 300);
   const engines = makeEngines(150, 45);
   const idle = makeGroups('host-0', hosts, engines);
@@ -107,12 +107,12 @@
   assert.ok(engines.every(({id}) => groups.isOwn(id)));
 });
 
-test('one engine more or less moves few others to another group', () => {
-  // During a release engines come and go each second; the books of those that
-  // change groups are a second old for their new users.
+test('adding or removing one engine moves few others to another group', () => {
+  // During a rolling release engines come and go each second, and an engine
+  // that changes groups is used with load data that is a second old.
   const ids = makeIds('engine', 60);
-  const before = dealOut(ids, 4);
-  const after = dealOut(
+  const before = assignToGroups(ids, 4);
+  const after = assignToGroups(
     ids.filter(id => id !== 'engine-17'),
     4,
   );
