--- a/src/relay/roles/orders_lease.ts
+++ b/src/relay/roles/orders_lease.ts
@@ -1,4 +1,4 @@
-/** The lease under which one host at a time gives orders to engines. */
+/** The lease that allows one host at a time to send role orders to engines. */
 
 import {
   createShortLease,
@@ -10,11 +10,11 @@
 /** Bound on the difference of clock rates between hosts. */
 const CLOCK_RATE_ERROR = 0.01;
 /**
- * Orders go out in the first part of a lease; the rest of its time covers a
- * suspension too short to be noticed.
+ * Orders are sent in the first part of a lease; the rest covers suspensions of
+ * the process that are too short to be noticed.
  */
-const ORDER_TIME_SHARE = 0.3;
-/** An order is on its way for as long as its call may take. */
+const USABLE_LEASE_SHARE = 0.3;
+/** An order is in transit for at most as long as its call may take. */
 const ORDER_SETTLE_MS = 800;
 const LEASE_CALL_TIMEOUT_MS = 600;
 
@@ -32,7 +32,7 @@
     name: ORDERS_LEASE,
     leaseMs,
     clockRateError: CLOCK_RATE_ERROR,
-    useMs: leaseMs * ORDER_TIME_SHARE,
+    useMs: leaseMs * USABLE_LEASE_SHARE,
     settleMs: ORDER_SETTLE_MS,
     callTimeoutMs: LEASE_CALL_TIMEOUT_MS,
   });
--- a/src/relay/roles/role_demand.ts
+++ b/src/relay/roles/role_demand.ts
@@ -1,23 +1,23 @@
 /**
- * How the work of a model service divides between prefill and decode engines,
- * by what all hosts learned. Pure.
+ * Computes how the engines of a model service should be divided between prefill
+ * and decode, from the statistics of all hosts. Does no I/O.
  *
- * A prompt takes a prefill engine for as long as it takes to read it. A run
- * takes a part of a decode engine's memory for as long as it lasts; that part
- * times that time is its share of the engine. The engines are best divided in
- * the ratio of the two, whatever the load.
+ * A prompt occupies a prefill engine for as long as its prefill takes. A run
+ * occupies part of a decode engine's memory for as long as it lasts; that part
+ * multiplied by that time is its share of the engine. The best division has the
+ * ratio of these two times, at any load.
  */
 
 import type {RoleDemand} from '../../core/scheduling/role_plan.js';
 import type {SharedLearning} from '../placement/shared_learning.js';
 
-/** Engines of each role that `engineCount` engines are best divided into. */
+/** The best number of engines of each role, out of `engineCount`. */
 export function divideEngines(
   learning: SharedLearning,
   engineCount: number,
 ): RoleDemand {
   const prefillMs = learning.meanPromptTokens() / learning.tokensPerMs();
-  const share = prefillMs / (prefillMs + learning.meanDecodeMs());
-  const prefillEngines = engineCount * share;
+  const prefillShare = prefillMs / (prefillMs + learning.meanDecodeMs());
+  const prefillEngines = engineCount * prefillShare;
   return {prefillEngines, decodeEngines: engineCount - prefillEngines};
 }
--- a/src/relay/roles/role_orders.ts
+++ b/src/relay/roles/role_orders.ts
@@ -1,9 +1,10 @@
 /**
  * Keeps the engines of the model services divided between prefill and decode
- * as the requests need it, by orders under a short lease.
+ * according to demand, by orders under a short lease.
  *
- * One host plans: one of those that read the store for all. The lease and the
- * engines' fences hold when two believe that it is their turn.
+ * One host plans, chosen among those that read the store for all hosts. If two
+ * hosts both consider themselves the planner, the lease and the fences checked
+ * by the engines keep their orders apart.
  */
 
 import type {Service} from '../../core/routing_types.js';
@@ -36,7 +37,7 @@
   readonly lease: ShortLease;
   readonly learning: SharedLearning;
   services(): readonly Service[];
-  /** Whether this host is the one to plan. */
+  /** Whether this host is the planner. */
   isPlanner(): boolean;
   onChange(): void;
 }
@@ -44,7 +45,7 @@
 export interface RoleOrders {
   start(): void;
   stop(): void;
-  /** Engines that were told to change and are not back yet. */
+  /** Engines that were ordered to change and have not returned yet. */
   changing(): readonly string[];
 }
 
@@ -52,11 +53,12 @@
   readonly hostId: string;
 }
 
-const LOOK_EVERY_MS = 500;
+const PLAN_INTERVAL_MS = 500;
 /**
- * A change takes an engine away for seconds, a wrong division costs every
- * burst; what lasts longer than this is no passing crash. The use has to be
- * higher than what was learned is wrong by, or engines change back and forth.
+ * A change takes an engine away for seconds, and a wrong division costs every
+ * burst. A shortage longer than `shortForMs` is no passing crash. `highUse`
+ * must exceed the error of the statistics, or engines would change back and
+ * forth.
  */
 const PLAN: RolePlanOptions = {
   highUse: 1.08,
@@ -68,36 +70,38 @@
   mostAtOnce: 1,
 };
 /**
- * Engines that change together: one by one, many would take longer than the
- * burst lasts that asks for them.
+ * Share of the engines that may change at once. Changed one by one, many
+ * engines would take longer than the burst that needs them.
  */
-const AT_ONCE_SHARE = 1 / 8;
+const CONCURRENT_CHANGE_SHARE = 1 / 8;
 /**
- * An engine starts to read prompts only where prompts wait for longer than
- * this, on the mean: in a burst decode memory is short as well.
+ * An engine changes to prefill only if prompts wait longer than this on
+ * average, because decode memory is short in a burst as well.
  */
-const PROMPTS_WAIT_MS = 150;
-/** On top of the time that a change takes: the list lags by a heartbeat. */
-const SEEN_AFTER_MS = 4_000;
+const MIN_PROMPT_WAIT_MS = 150;
+/**
+ * Added to the time that a change takes, because the list lags by a heartbeat.
+ */
+const LIST_LAG_MS = 4_000;
 /**
  * An order without an answer may be carried out seconds later. Another engine
- * that is changed meanwhile is one too many.
+ * changed in the meantime would be one too many.
  */
-const UNKNOWN_FOR_MS = 8_000;
+const UNANSWERED_ORDER_MS = 8_000;
 
 interface SentOrder extends RoleChange {
   readonly untilMs: number;
 }
 
-/** An order that the engine can take as far as its report tells. */
+/** An order that the engine can take, according to its report. */
 interface PreparedOrder {
   readonly change: RoleChange;
   readonly engine: Upstream;
   readonly report: EngineReport;
 }
 
-/** The list lags: the engine may have started again since it was read. */
-function isSameLife(engine: Upstream, report: EngineReport): boolean {
+/** The list lags, so the engine may have restarted since it was read. */
+function isSameProcess(engine: Upstream, report: EngineReport): boolean {
   const times = [engine.startedAtMs, report.startedAtMs];
   return times.includes(undefined) || times[0] === times[1];
 }
@@ -107,27 +111,27 @@
   options: RoleOrdersOptions,
 ): RoleOrders {
   const {clock, log, registry, books, upstreamPort, learning} = host;
-  const sent = new Map<string, SentOrder>();
+  const pendingOrders = new Map<string, SentOrder>();
   const plans = new Map<string, RolePlanState>();
   let timer: TimerHandle | undefined;
   let isStopped = false;
 
-  function forgetDone(): void {
+  function dropCompletedOrders(): void {
     const nowMs = clock.nowMs();
-    for (const [id, order] of sent) {
+    for (const [id, order] of pendingOrders) {
       const engine = registry.get(id);
       if (engine && engine.role !== order.role && nowMs < order.untilMs)
         continue;
-      sent.delete(id);
+      pendingOrders.delete(id);
       host.onChange();
     }
   }
 
-  /** An engine as it will be once its order is carried out. */
+  /** The engine as it will be once its order is carried out. */
   function toPlanned(engine: Upstream): PlannedEngine {
     return {
       engineId: engine.id,
-      role: sent.get(engine.id)?.role ?? engine.role ?? 'decode',
+      role: pendingOrders.get(engine.id)?.role ?? engine.role ?? 'decode',
       failureDomain: engine.failureDomain,
       models: [],
       usedSlots: books.decodeLoad(engine.id).runs,
@@ -145,32 +149,40 @@
       clock.nowMs(),
       {
         ...PLAN,
-        mostAtOnce: Math.max(1, Math.floor(engines.length * AT_ONCE_SHARE)),
+        mostAtOnce: Math.max(
+          1,
+          Math.floor(engines.length * CONCURRENT_CHANGE_SHARE),
+        ),
       },
     );
     plans.set(service.name, step.state);
-    const changes = step.changes.filter(({engineId}) => !sent.has(engineId));
-    if (changes.at(0)?.role !== 'prefill' || doPromptsWait(engines)) {
+    const changes = step.changes.filter(
+      ({engineId}) => !pendingOrders.has(engineId),
+    );
+    if (changes.at(0)?.role !== 'prefill' || hasWaitingPrompts(engines)) {
       return changes;
     }
-    holdBack(changes, 'no prompts wait');
+    reportHeldBack(changes, 'no prompts wait');
     return [];
   }
 
-  /** Whether prefill engines are behind, or there are none. */
-  function doPromptsWait(engines: readonly Upstream[]): boolean {
-    const readers = engines.filter(({role}) => role === 'prefill');
-    if (readers.length === 0) return true;
-    const tokens = readers.reduce(
+  /** Whether prefill engines have a long backlog, or there are none. */
+  function hasWaitingPrompts(engines: readonly Upstream[]): boolean {
+    const prefillEngines = engines.filter(({role}) => role === 'prefill');
+    if (prefillEngines.length === 0) return true;
+    const tokens = prefillEngines.reduce(
       (sum, {id}) => sum + books.prefillLoad(id).tokens,
       0,
     );
-    const waitMs = tokens / readers.length / learning.tokensPerMs();
-    return waitMs > PROMPTS_WAIT_MS;
+    const waitMs = tokens / prefillEngines.length / learning.tokensPerMs();
+    return waitMs > MIN_PROMPT_WAIT_MS;
   }
 
-  /** Says why an order that was planned is not given. */
-  function holdBack(changes: readonly RoleChange[], reason: string): void {
+  /** Records why a planned order is not sent. */
+  function reportHeldBack(
+    changes: readonly RoleChange[],
+    reason: string,
+  ): void {
     host.metrics.count('role_orders', `outcome="held-back:${reason}"`);
     log.info('Order held back.', {
       upstreams: changes.map(({engineId}) => engineId).join(','),
@@ -179,17 +191,19 @@
     });
   }
 
-  /** What the engine says of itself, if it can take the order now. */
+  /** Returns the engine's report if the engine can take the order now. */
   async function prepare(
     change: RoleChange,
   ): Promise<PreparedOrder | undefined> {
     const engine = registry.get(change.engineId);
     if (!engine) return undefined;
     const report = await upstreamPort.report(engine);
-    if (!report) holdBack([change], 'no report');
-    else if (!isSameLife(engine, report)) holdBack([change], 'started again');
-    else if (report.isChanging) holdBack([change], 'another order runs');
-    else if (report.role === change.role) holdBack([change], 'has the role');
+    if (!report) reportHeldBack([change], 'no report');
+    else if (!isSameProcess(engine, report))
+      reportHeldBack([change], 'started again');
+    else if (report.isChanging) reportHeldBack([change], 'another order runs');
+    else if (report.role === change.role)
+      reportHeldBack([change], 'has the role');
     else return {change, engine, report};
     return undefined;
   }
@@ -215,27 +229,28 @@
     });
     const roleChangeMs = service.engine?.roleChangeMs ?? 0;
     if (outcome === 'accepted') {
-      remember(change, roleChangeMs + SEEN_AFTER_MS);
+      recordSent(change, roleChangeMs + LIST_LAG_MS);
     } else if (outcome === 'unknown') {
-      remember(change, UNKNOWN_FOR_MS);
+      recordSent(change, UNANSWERED_ORDER_MS);
     }
   }
 
-  async function giveOrders(
+  async function sendOrders(
     service: Service,
     changes: readonly RoleChange[],
   ): Promise<void> {
     const term = await host.lease.acquire();
-    if (!term) return holdBack(changes, 'no lease');
+    if (!term) return reportHeldBack(changes, 'no lease');
     const prepared = (await Promise.all(changes.map(prepare))).filter(
       each => each !== undefined,
     );
     if (prepared.length === 0) return;
-    // Asked last, right before the sends: a holder that was suspended up to
-    // here has no right to act any more, though its clock may say so.
+    // Confirmed last, right before the orders are sent: a holder that was
+    // suspended until now has lost its right to send, even if its clock does
+    // not show it.
     const check = await host.lease.confirm(term);
     if (check !== 'valid') {
-      return holdBack(
+      return reportHeldBack(
         prepared.map(({change}) => change),
         `lease ${check}`,
       );
@@ -243,16 +258,16 @@
     await Promise.all(prepared.map(each => send(each, service, term)));
   }
 
-  function remember(change: RoleChange, durationMs: number): void {
-    sent.set(change.engineId, {
+  function recordSent(change: RoleChange, durationMs: number): void {
+    pendingOrders.set(change.engineId, {
       ...change,
       untilMs: clock.nowMs() + durationMs,
     });
     host.onChange();
   }
 
-  async function look(): Promise<void> {
-    forgetDone();
+  async function update(): Promise<void> {
+    dropCompletedOrders();
     if (!host.isPlanner()) {
       plans.clear();
       return;
@@ -260,13 +275,13 @@
     for (const service of host.services()) {
       if (!service.engine) continue;
       const changes = plan(service);
-      if (changes.length > 0) await giveOrders(service, changes);
+      if (changes.length > 0) await sendOrders(service, changes);
     }
   }
 
   function tick(): void {
-    void look().finally(() => {
-      if (!isStopped) timer = clock.setTimer(LOOK_EVERY_MS, tick);
+    void update().finally(() => {
+      if (!isStopped) timer = clock.setTimer(PLAN_INTERVAL_MS, tick);
     });
   }
 
@@ -276,6 +291,6 @@
       isStopped = true;
       if (timer) clock.clearTimer(timer);
     },
-    changing: () => [...sent.keys()],
+    changing: () => [...pendingOrders.keys()],
   };
 }
--- a/tests/relay/roles/role_orders_test.ts
+++ b/tests/relay/roles/role_orders_test.ts
@@ -39,11 +39,11 @@
   check: TermCheck;
   hasLease: boolean;
   outcome: RoleOrderOutcome;
-  /** Start of the engines' present lives. */
+  /** Start time of the engines' current processes. */
   startedAtMs: number;
 }
 
-const FIRST_LIFE_MS = 1_790_000_000_000;
+const FIRST_START_MS = 1_790_000_000_000;
 
 function makeOrders(
   prefillCount: number,
@@ -67,7 +67,7 @@
       slots: 48,
       isDraining: false,
       heartbeat: revisionAt(1),
-      startedAtMs: FIRST_LIFE_MS,
+      startedAtMs: FIRST_START_MS,
       role,
     })),
   });
@@ -76,10 +76,10 @@
     check: 'valid',
     hasLease: true,
     outcome: 'accepted',
-    startedAtMs: FIRST_LIFE_MS,
+    startedAtMs: FIRST_START_MS,
   };
   const books = createEngineBooks();
-  const given: Array<RoleOrder & {readonly engineId: string}> = [];
+  const sentOrders: Array<RoleOrder & {readonly engineId: string}> = [];
   let epoch = 0;
   const lease: ShortLease = {
     acquire: () =>
@@ -104,7 +104,7 @@
         startedAtMs: switches.startedAtMs,
       }),
     order(upstream: {id: string}, order: RoleOrder) {
-      given.push({...order, engineId: upstream.id});
+      sentOrders.push({...order, engineId: upstream.id});
       return Promise.resolve(switches.outcome);
     },
   } as Partial<UpstreamPort> as UpstreamPort;
@@ -125,36 +125,36 @@
     {hostId: 'h1'},
   );
   orders.start();
-  return {clock, given, orders, switches, books};
+  return {clock, sentOrders, orders, switches, books};
 }
 
-test('engines are divided as the work needs it, one order at a time', async () => {
-  const {clock, given, orders} = makeOrders(5, 8);
+test('engines are divided according to demand, one order at a time', async () => {
+  const {clock, sentOrders, orders} = makeOrders(5, 8);
   await clock.advance(8_000);
   assert.deepEqual(
-    given.map(({role}) => role),
+    sentOrders.map(({role}) => role),
     ['decode', 'decode'],
   );
-  assert.notEqual(given[0].engineId, given[1].engineId);
-  assert.ok(given[1].fence > given[0].fence);
-  assert.equal(given[0].expectedOrderCount, 4);
+  assert.notEqual(sentOrders[0].engineId, sentOrders[1].engineId);
+  assert.ok(sentOrders[1].fence > sentOrders[0].fence);
+  assert.equal(sentOrders[0].expectedOrderCount, 4);
   assert.equal(orders.changing().length, 2);
 });
 
-test('a host that is not the planner, or has no lease, gives no order', async () => {
-  const {clock, given, switches} = makeOrders(5, 8);
+test('a host that is not the planner, or has no lease, sends no order', async () => {
+  const {clock, sentOrders, switches} = makeOrders(5, 8);
   switches.isPlanner = false;
   await clock.advance(5_000);
   switches.isPlanner = true;
   switches.hasLease = false;
   await clock.advance(5_000);
-  assert.equal(given.length, 0);
+  assert.equal(sentOrders.length, 0);
 });
 
-test('a host that was suspended gives no order under its old lease', async () => {
-  // Two hosts order one engine in turn: the first was suspended between its
-  // check and its order, and its clock had stood still.
-  const {clock, given, switches} = makeOrders(5, 8);
+test('a host that was suspended sends no order under its old lease', async () => {
+  // Guards against two hosts that order the same engine in turn: the first was
+  // suspended between its check and its order, and its clock had stood still.
+  const {clock, sentOrders, switches} = makeOrders(5, 8);
   for (const check of [
     'suspended',
     'expired',
@@ -163,35 +163,38 @@
   ] as const) {
     switches.check = check;
     await clock.advance(6_000);
-    assert.equal(given.length, 0);
+    assert.equal(sentOrders.length, 0);
   }
   switches.check = 'valid';
   await clock.advance(6_000);
-  assert.ok(given.length > 0);
+  assert.ok(sentOrders.length > 0);
 });
 
-test('an order without an answer is not given again at once', async () => {
-  // An engine changes its role twice: the order was taken, its answer lost,
-  // and the next one sent before the list could show the first.
-  const {clock, given, switches} = makeOrders(4, 9);
+test('an order without an answer is not repeated at once', async () => {
+  // Guards against an engine that changes its role twice: the order was carried
+  // out, its answer lost, and the next order sent before the list could show
+  // the first.
+  const {clock, sentOrders, switches} = makeOrders(4, 9);
   switches.outcome = 'unknown';
   await clock.advance(3_900);
-  assert.equal(given.length, 1);
+  assert.equal(sentOrders.length, 1);
 });
 
-test('several of many engines change together, within seconds', async () => {
-  // 34 engines start with 12 for prompts where 7 will do: decode memory is
-  // short in the first burst, while changes went one by one for 20 s.
-  const {clock, given} = makeOrders(12, 22);
+test('several of many engines change at once, within seconds', async () => {
+  // Guards against decode memory that is short in the first burst because
+  // changes went one by one for 20 s: 34 engines start with 12 for prefill
+  // where 7 are enough.
+  const {clock, sentOrders} = makeOrders(12, 22);
   await clock.advance(4_000);
-  assert.equal(given.length, 4);
-  assert.equal(new Set(given.map(({engineId}) => engineId)).size, 4);
-  assert.equal(new Set(given.map(({fence}) => fence)).size, 1);
+  assert.equal(sentOrders.length, 4);
+  assert.equal(new Set(sentOrders.map(({engineId}) => engineId)).size, 4);
+  assert.equal(new Set(sentOrders.map(({fence}) => fence)).size, 1);
 });
 
-test('an order that is planned and not given leaves a line with its reason', async () => {
-  // Engines kept a wrong division for a whole day and nothing said why: each
-  // order was held back in silence by a check that cried wolf.
+test('a planned order that is not sent is logged with the reason', async () => {
+  // Guards against a wrong division that lasts for a whole day without an
+  // explanation in the log, because a check that failed wrongly held back each
+  // order.
   const lines: string[] = [];
   const log = {
     ...silentLog,
@@ -207,23 +210,23 @@
   assert.ok(lines.some(line => line.includes('"reason":"no lease"')));
 });
 
-test('no order goes by what an earlier life of the engine said', async () => {
-  // An engine crashes and starts again under its name. The list still shows
-  // its old life; an order meant for that would change the new one.
-  const {clock, given, switches} = makeOrders(5, 8);
-  switches.startedAtMs = FIRST_LIFE_MS + 9_000;
+test('no order is sent to an engine that has restarted since the list was read', async () => {
+  // Guards against an order that changes a restarted engine but was meant for
+  // its earlier process, which the list still shows.
+  const {clock, sentOrders, switches} = makeOrders(5, 8);
+  switches.startedAtMs = FIRST_START_MS + 9_000;
   await clock.advance(5_000);
-  assert.equal(given.length, 0);
+  assert.equal(sentOrders.length, 0);
 });
 
-test('no engine is taken from decoding while no prompts wait', async () => {
-  // In a burst decode memory is short, and callers wait for it. The learned
-  // ratio of the work asked for one more engine that reads prompts, which was
-  // away for six seconds and then had nothing to read.
-  const {clock, given, books} = makeOrders(1, 12);
+test('no engine is taken from decode while no prompts wait', async () => {
+  // Guards against an engine taken from decode in a burst, when decode memory
+  // is short: the learned ratio called for one more prefill engine, which was
+  // away for six seconds and then had no prompts.
+  const {clock, sentOrders, books} = makeOrders(1, 12);
   await clock.advance(5_000);
-  assert.equal(given.length, 0);
+  assert.equal(sentOrders.length, 0);
   books.startPrefill('e0', 9_000);
   await clock.advance(5_000);
-  assert.equal(given[0]?.role, 'prefill');
+  assert.equal(sentOrders[0]?.role, 'prefill');
 });
