--- a/src/relay/placement/engine_books.ts
+++ b/src/relay/placement/engine_books.ts
@@ -53,8 +53,8 @@
    */
   total(): HostLoad;
   /**
-   * Engines in the last two results of `own()`. The users of an engine that is
-   * no longer in it must be told that this host has released it.
+   * Engines in the last two announced loads. The hosts that use an engine must
+   * also be told once this host has released it.
    */
   usedEngineIds(): readonly string[];
   /** Replaces the load of a peer; undefined removes it. */
--- a/src/relay/placement/engine_candidates.ts
+++ b/src/relay/placement/engine_candidates.ts
@@ -68,7 +68,7 @@
   /** A request was placed on the engine. */
   recordPlacement(engineId: string): void;
   /** Engines whose actual role differs from the listed one. */
-  withRoleMismatch(): readonly string[];
+  roleMismatches(): readonly string[];
   /** Engines that refused requests of this host a moment ago. */
   full(): readonly string[];
   /** Engines that failed requests of this host and are excluded for a while. */
@@ -226,7 +226,7 @@
       mismatches.set(id, {listedRole, untilMs});
     },
     recordPlacement: breaker.recordPlacement,
-    withRoleMismatch: () => [...mismatches.keys()].filter(hasRoleMismatch),
+    roleMismatches: () => [...mismatches.keys()].filter(hasRoleMismatch),
     full: () => [...refusals.keys()].filter(hasRefused),
     suspects() {
       const nowMs = clock.nowMs();
--- a/src/relay/placement/engine_scheduler.ts
+++ b/src/relay/placement/engine_scheduler.ts
@@ -222,7 +222,7 @@
   }
 
   function reservePrefill(engineId: string, tokens: number): PrefillBooking {
-    const wasAlone = books.prefillLoad(engineId).prompts === 0;
+    const wasIdle = books.prefillLoad(engineId).prompts === 0;
     let isOpen = true;
     books.startPrefill(engineId, tokens);
     candidates.recordPlacement(engineId);
@@ -230,7 +230,7 @@
       engineId,
       // Peers may have placed prompts there at the same moment; their
       // announcements arrive later.
-      isAlone: () => wasAlone && books.prefillLoad(engineId).prompts === 1,
+      isAlone: () => wasIdle && books.prefillLoad(engineId).prompts === 1,
       backlogTokens: () => books.prefillLoad(engineId).tokens,
       end() {
         if (!isOpen) return;
@@ -412,7 +412,7 @@
       candidates.recordRoleMismatch(engineId);
       host.onChange();
     },
-    inOtherRole: candidates.withRoleMismatch,
+    inOtherRole: candidates.roleMismatches,
     processQueue,
     pumpSoon,
     announcements: () =>
--- a/src/relay/roles/role_orders.ts
+++ b/src/relay/roles/role_orders.ts
@@ -56,9 +56,9 @@
 const PLAN_INTERVAL_MS = 500;
 /**
  * A change takes an engine away for seconds, and a wrong division costs every
- * burst. A shortage longer than `shortForMs` is no passing crash. `highUse`
- * must exceed the error of the statistics, or engines would change back and
- * forth.
+ * burst. A shortage that lasts longer than the time below is no passing crash.
+ * The threshold for high use must exceed the error of the statistics, or
+ * engines would change back and forth.
  */
 const PLAN: RolePlanOptions = {
   highUse: 1.08,
--- a/tests/relay/placement/engine_scheduler_test.ts
+++ b/tests/relay/placement/engine_scheduler_test.ts
@@ -116,7 +116,7 @@
   };
 }
 
-const alive = createCancellation();
+const neverCancelled = createCancellation();
 
 function placedOn(outcome: PlacementOutcome): string {
   return outcome.kind === 'placed'
@@ -131,7 +131,7 @@
   const {clock, scheduler} = makeScheduler(['p1', 'p2', 'p3', 'd1', 'd2']);
   const need = makeNeed(clock.nowMs());
   const outcomes = await Promise.all(
-    [1, 2, 3].map(() => scheduler.place(need, alive)),
+    [1, 2, 3].map(() => scheduler.place(need, neverCancelled)),
   );
   const prefills = outcomes.map(outcome => placedOn(outcome).slice(0, 2));
   assert.deepEqual([...prefills].sort(), ['p1', 'p2', 'p3']);
@@ -148,7 +148,7 @@
     promptTokens: 8_000,
     expectedOutputTokens: 500,
   });
-  const outcome = scheduler.place(makeNeed(nowMs), alive);
+  const outcome = scheduler.place(makeNeed(nowMs), neverCancelled);
   setPeers([
     {
       arrivedAtMs: nowMs - 100,
@@ -186,7 +186,7 @@
       giveUpAtMs: nowMs + 2_900,
     })),
   );
-  const outcome = await scheduler.place(makeNeed(nowMs), alive);
+  const outcome = await scheduler.place(makeNeed(nowMs), neverCancelled);
   assert.equal(outcome.kind, 'refused');
   if (outcome.kind !== 'refused') return;
   assert.equal(outcome.error.kind, 'overloaded');
@@ -211,9 +211,12 @@
       },
       promptTokens: 6_000,
     }),
-    alive,
+    neverCancelled,
+  );
+  const fresh = scheduler.place(
+    makeNeed(nowMs, {promptTokens: 6_000}),
+    neverCancelled,
   );
-  const fresh = scheduler.place(makeNeed(nowMs, {promptTokens: 6_000}), alive);
   scheduler.release(run);
   await clock.advance(10);
   assert.equal((await fresh).kind, 'placed');
@@ -230,7 +233,7 @@
     expectedOutputTokens: 500,
   });
   const need = makeNeed(clock.nowMs());
-  const outcome = scheduler.place(need, alive);
+  const outcome = scheduler.place(need, neverCancelled);
   await clock.advance(3_100);
   assert.equal((await outcome).kind, 'refused');
   assert.equal(scheduler.announcements().length, 0);
@@ -256,7 +259,7 @@
   // has room: an engine that had just lost one answer was excluded like one
   // that loses all.
   const {clock, books, scheduler} = makeScheduler(['p1', 'd1', 'd2']);
-  const place = () => scheduler.place(makeNeed(clock.nowMs()), alive);
+  const place = () => scheduler.place(makeNeed(clock.nowMs()), neverCancelled);
   assert.equal((await place()).kind, 'placed');
   scheduler.noteFailure('d2');
   assert.equal(
@@ -279,7 +282,7 @@
   const engines = ['p1', 'p2', 'd1', 'd2', 'd3', 'd4'];
   const {clock, scheduler} = makeScheduler(engines);
   const place = async () =>
-    placedOn(await scheduler.place(makeNeed(clock.nowMs()), alive));
+    placedOn(await scheduler.place(makeNeed(clock.nowMs()), neverCancelled));
   // An engine is tracked, and can be reported as failing, once it was
   // considered.
   await place();
@@ -298,7 +301,10 @@
   const {clock, scheduler} = makeScheduler(['p1', 'd1', 'd2']);
   const refusedAt: number[] = [];
   for (let i = 0; i < 240; i++) {
-    const outcome = await scheduler.place(makeNeed(clock.nowMs()), alive);
+    const outcome = await scheduler.place(
+      makeNeed(clock.nowMs()),
+      neverCancelled,
+    );
     if (outcome.kind !== 'placed') continue;
     if (outcome.decode.id === 'd2') {
       refusedAt.push(clock.nowMs());
@@ -310,7 +316,10 @@
   }
   assert.ok(refusedAt.length <= 6, `${refusedAt.length} were sent there`);
   scheduler.noteTaken('d2');
-  const outcome = await scheduler.place(makeNeed(clock.nowMs()), alive);
+  const outcome = await scheduler.place(
+    makeNeed(clock.nowMs()),
+    neverCancelled,
+  );
   assert.equal(outcome.kind, 'placed');
 });
 
@@ -320,7 +329,10 @@
   const {clock, scheduler, setFullAtPeers} = makeScheduler(['p1', 'd1', 'd2']);
   setFullAtPeers('d2');
   for (let i = 0; i < 3; i++) {
-    const outcome = await scheduler.place(makeNeed(clock.nowMs()), alive);
+    const outcome = await scheduler.place(
+      makeNeed(clock.nowMs()),
+      neverCancelled,
+    );
     assert.match(placedOn(outcome), /d1$/);
     if (outcome.kind === 'placed') scheduler.release(outcome.run);
   }
--- a/tests/relay/placement/placement_client_test.ts
+++ b/tests/relay/placement/placement_client_test.ts
@@ -115,9 +115,9 @@
 test('a placement counts once in the load of placer and requesting host', async () => {
   const {clock, entry, first} = makeGroup();
   const need = makeNeed(clock.nowMs());
-  const asked = watch(entry.client.place(need, createCancellation()));
+  const request = watch(entry.client.place(need, createCancellation()));
   await clock.advance(10);
-  assert.equal(asked.outcome?.kind, 'placed');
+  assert.equal(request.outcome?.kind, 'placed');
   assert.equal(entry.books.decodeLoad('d1').runs, 1);
   // Until the requesting host announces the run, the placer counts it in its
   // own load.
@@ -131,9 +131,9 @@
   const {clock, entry, first, loseAnswers} = makeGroup();
   loseAnswers(1);
   const need = makeNeed(clock.nowMs());
-  const asked = watch(entry.client.place(need, createCancellation()));
+  const request = watch(entry.client.place(need, createCancellation()));
   await clock.advance(100);
-  assert.equal(asked.outcome?.kind, 'placed');
+  assert.equal(request.outcome?.kind, 'placed');
   assert.equal(first.books.decodeLoad('d1').runs, 1);
 });
 
@@ -143,9 +143,9 @@
   const {clock, entry, silent, sent} = makeGroup();
   silent.add('first');
   const need = makeNeed(clock.nowMs());
-  const asked = watch(entry.client.place(need, createCancellation()));
+  const request = watch(entry.client.place(need, createCancellation()));
   await clock.advance(400);
-  assert.equal(asked.outcome?.kind, 'placed');
+  assert.equal(request.outcome?.kind, 'placed');
   // The next stream skips the silent placer.
   sent.length = 0;
   void entry.client.place(makeNeed(clock.nowMs()), createCancellation());
@@ -163,9 +163,9 @@
     }));
     entry.registry.apply({revision: revisionAt(2), upstreams});
     const need = makeNeed(clock.nowMs());
-    const asked = watch(entry.client.place(need, createCancellation()));
+    const request = watch(entry.client.place(need, createCancellation()));
     await clock.advance(900);
-    const {outcome} = asked;
+    const {outcome} = request;
     assert.ok(outcome?.kind === 'placed');
     assert.notEqual(outcome.prefill?.id, leaving);
     outcome.prefillBooking.end();
@@ -178,9 +178,9 @@
   const {clock, entry, silent} = makeGroup();
   silent.add('first').add('standby');
   const need = makeNeed(clock.nowMs());
-  const asked = watch(entry.client.place(need, createCancellation()));
+  const request = watch(entry.client.place(need, createCancellation()));
   await clock.advance(700);
-  assert.equal(asked.outcome?.kind, 'placed');
+  assert.equal(request.outcome?.kind, 'placed');
 });
 
 test('a request that waits at the placer gets the room that another frees', async () => {
@@ -191,12 +191,12 @@
     expectedOutputTokens: 500,
   });
   const need = makeNeed(clock.nowMs());
-  const asked = watch(entry.client.place(need, createCancellation()));
+  const request = watch(entry.client.place(need, createCancellation()));
   await clock.advance(1_200);
-  assert.equal(kindOf(asked), undefined);
+  assert.equal(kindOf(request), undefined);
   first.scheduler.release(run);
   await clock.advance(20);
-  assert.equal(asked.outcome?.kind, 'placed');
+  assert.equal(request.outcome?.kind, 'placed');
 });
 
 test('requests in the queue of a placer that dies are placed elsewhere', async () => {
@@ -207,11 +207,11 @@
     expectedOutputTokens: 500,
   });
   const need = makeNeed(clock.nowMs());
-  const asked = watch(entry.client.place(need, createCancellation()));
+  const request = watch(entry.client.place(need, createCancellation()));
   await clock.advance(400);
   silent.add('first');
   await clock.advance(900);
-  assert.equal(asked.outcome?.kind, 'placed');
+  assert.equal(request.outcome?.kind, 'placed');
 });
 
 test('a caller that leaves takes its request out of the placer’s queue', async () => {
@@ -223,12 +223,12 @@
   });
   const cancellation = createCancellation();
   const need = makeNeed(clock.nowMs());
-  const asked = watch(entry.client.place(need, cancellation));
+  const request = watch(entry.client.place(need, cancellation));
   await clock.advance(100);
   assert.equal(first.scheduler.announcements().length, 1);
   cancellation.cancel();
   await clock.advance(20);
-  assert.equal(asked.outcome?.kind, 'cancelled');
+  assert.equal(request.outcome?.kind, 'cancelled');
   assert.equal(first.scheduler.announcements().length, 0);
 });
 
--- a/tests/relay/placement/shared_learning_test.ts
+++ b/tests/relay/placement/shared_learning_test.ts
@@ -10,14 +10,14 @@
 /** Hosts that observe streams in turn and announce their sums each second. */
 async function simulate(
   hostCount: number,
-  see: (learning: SharedLearning, index: number) => void,
+  observe: (learning: SharedLearning, index: number) => void,
 ): Promise<SharedLearning> {
   const clock = createVirtualClock(1_000);
   const hosts = Array.from({length: hostCount}, () =>
     createSharedLearning({clock}),
   );
   for (let index = 0; index < 400; index++) {
-    see(hosts[index % hostCount], index);
+    observe(hosts[index % hostCount], index);
     await clock.advance(20);
     if (index % 50 > 0) continue;
     for (const [i, host] of hosts.entries()) {
