--- a/src/relay/fleet/ask_client.ts
+++ b/src/relay/fleet/ask_client.ts
@@ -1,77 +1,85 @@
 /**
- * Asks one other host something that it alone decides.
+ * Requests a decision from the peer that owns it.
  *
- * Guards against a host that is dead, frozen or cut off: it answers soon, or
- * the asking host goes on without its word.
+ * Guards against a peer that is dead, frozen or cut off: it answers soon, or
+ * the caller continues without its decision.
  */
 
 import type {Clock, TimerHandle} from '../../ports/clock.js';
 
-/** A question or its answer; the id is new for each ask of a host's life. */
-export interface AskMessage {
+/**
+ * A request or its answer; the id is unique within an incarnation of a host.
+ */
+export interface CorrelatedMessage {
   readonly askId: number;
 }
 
-export interface AskClientHost<Ask extends AskMessage> {
+export interface PeerRequestClientHost<Request extends CorrelatedMessage> {
   readonly clock: Clock;
-  /** Differs for each start, so that asks of another life are not meant. */
+  /**
+   * Differs for each start, so that answers to an earlier incarnation are
+   * ignored.
+   */
   readonly firstAskId: number;
-  tell(hostId: string, ask: Ask): void;
+  tell(hostId: string, request: Request): void;
 }
 
-export interface AskClient<Ask extends AskMessage, Answer extends AskMessage> {
-  /** Undefined when the host does not answer. */
+export interface AskClient<
+  Request extends CorrelatedMessage,
+  Answer extends CorrelatedMessage,
+> {
+  /** Undefined if the peer does not answer. */
   ask(
     hostId: string,
-    question: Omit<Ask, 'askId'>,
+    request: Omit<Request, 'askId'>,
   ): Promise<Answer | undefined>;
   receive(fromHostId: string, answer: Answer): void;
 }
 
-/** The first ask of a life is drawn from this many numbers. */
+/** The first id of an incarnation is drawn at random from this many numbers. */
 export const FIRST_ASK_IDS = 2 ** 31;
-/** A lost datagram is sent again after this. */
-const ASK_AGAIN_MS = 25;
-const ASK_TRIES = 3;
+/** An unanswered request is sent again after this. */
+const RETRY_INTERVAL_MS = 25;
+const MAX_ATTEMPTS = 3;
 
-interface OpenAsk<Answer> {
+interface PendingRequest<Answer> {
   readonly hostId: string;
   readonly resolve: (answer: Answer | undefined) => void;
   timer?: TimerHandle;
 }
 
 export function createAskClient<
-  Ask extends AskMessage,
-  Answer extends AskMessage,
->(host: AskClientHost<Ask>): AskClient<Ask, Answer> {
+  Request extends CorrelatedMessage,
+  Answer extends CorrelatedMessage,
+>(host: PeerRequestClientHost<Request>): AskClient<Request, Answer> {
   const {clock} = host;
-  const open = new Map<number, OpenAsk<Answer>>();
+  const pending = new Map<number, PendingRequest<Answer>>();
   let nextAskId = host.firstAskId;
 
   function finish(askId: number, answer: Answer | undefined): void {
-    const ask = open.get(askId);
-    if (!ask || !open.delete(askId)) return;
-    if (ask.timer) clock.clearTimer(ask.timer);
-    ask.resolve(answer);
+    const request = pending.get(askId);
+    if (!request || !pending.delete(askId)) return;
+    if (request.timer) clock.clearTimer(request.timer);
+    request.resolve(answer);
   }
 
   return {
-    ask(hostId, question) {
+    ask(hostId, request) {
       const askId = nextAskId++;
       return new Promise(resolve => {
-        const ask: OpenAsk<Answer> = {hostId, resolve};
-        open.set(askId, ask);
-        let tries = 0;
+        const entry: PendingRequest<Answer> = {hostId, resolve};
+        pending.set(askId, entry);
+        let attempts = 0;
         const send = () => {
-          if (tries++ === ASK_TRIES) return finish(askId, undefined);
-          ask.timer = clock.setTimer(ASK_AGAIN_MS, send);
-          host.tell(hostId, {...question, askId} as Ask);
+          if (attempts++ === MAX_ATTEMPTS) return finish(askId, undefined);
+          entry.timer = clock.setTimer(RETRY_INTERVAL_MS, send);
+          host.tell(hostId, {...request, askId} as Request);
         };
         send();
       });
     },
     receive(fromHostId, answer) {
-      if (open.get(answer.askId)?.hostId !== fromHostId) return;
+      if (pending.get(answer.askId)?.hostId !== fromHostId) return;
       finish(answer.askId, answer);
     },
   };
--- a/src/relay/fleet/ask_desk.ts
+++ b/src/relay/fleet/ask_desk.ts
@@ -1,43 +1,44 @@
 /**
- * Answers hosts that ask for this one's decision. An ask that comes again, as
- * its answer was lost, gets the same answer and is not decided twice.
+ * Answers peers that request a decision of this host. A request that is
+ * repeated because its answer was lost gets the same answer, without a second
+ * decision.
  */
 
 import type {Clock} from '../../ports/clock.js';
-import type {AskMessage} from './ask_client.js';
+import type {CorrelatedMessage} from './ask_client.js';
 
-export interface AskDeskHost<
-  Ask extends AskMessage,
-  Answer extends AskMessage,
+export interface PeerRequestServerHost<
+  Request extends CorrelatedMessage,
+  Answer extends CorrelatedMessage,
 > {
   readonly clock: Clock;
-  decide(fromHostId: string, ask: Ask): Answer;
+  decide(fromHostId: string, request: Request): Answer;
   tell(hostId: string, answer: Answer): void;
 }
 
-export interface AskDesk<Ask extends AskMessage> {
-  receive(fromHostId: string, ask: Ask): void;
+export interface PeerRequestServer<Request extends CorrelatedMessage> {
+  receive(fromHostId: string, request: Request): void;
 }
 
-/** An ask that comes again within this time gets the same answer. */
-const REMEMBERED_MS = 1_000;
+/** A request repeated within this time gets the same answer. */
+const ANSWER_KEPT_MS = 1_000;
 
 export function createAskDesk<
-  Ask extends AskMessage,
-  Answer extends AskMessage,
->(host: AskDeskHost<Ask, Answer>): AskDesk<Ask> {
+  Request extends CorrelatedMessage,
+  Answer extends CorrelatedMessage,
+>(host: PeerRequestServerHost<Request, Answer>): PeerRequestServer<Request> {
   const {clock} = host;
   const answers = new Map<string, Answer>();
 
   return {
-    receive(fromHostId, ask) {
-      const key = `${fromHostId}/${ask.askId}`;
-      const known = answers.get(key) ?? host.decide(fromHostId, ask);
+    receive(fromHostId, request) {
+      const key = `${fromHostId}/${request.askId}`;
+      const answer = answers.get(key) ?? host.decide(fromHostId, request);
       if (!answers.has(key)) {
-        answers.set(key, known);
-        clock.setTimer(REMEMBERED_MS, () => answers.delete(key));
+        answers.set(key, answer);
+        clock.setTimer(ANSWER_KEPT_MS, () => answers.delete(key));
       }
-      host.tell(fromHostId, known);
+      host.tell(fromHostId, answer);
     },
   };
 }
--- a/src/relay/fleet/coordinators.ts
+++ b/src/relay/fleet/coordinators.ts
@@ -1,43 +1,43 @@
 /**
- * Which hosts hear from all others and tell them who lives.
+ * Selects the coordinators: the hosts that receive the state of all others and
+ * distribute the list of members.
  *
- * Each host finds them by itself, from the members that it knows. The order is
- * the same everywhere and depends on nothing but names, so that hosts agree as
- * soon as they know the same members, whatever fails meanwhile.
+ * Each host computes them from the members it knows. The order depends only on
+ * host ids, so hosts that know the same members always agree.
  */
 
 import {hashText} from '../../core/hash_text.js';
 import type {HostState} from './members.js';
 
-/** Two may fail at once, and the third still tells all others. */
+/** Two may fail at once, and the third still informs all others. */
 const COORDINATOR_COUNT = 3;
 /**
- * Up to this many hosts each tells all others by itself: no host depends on
- * another for what it knows, and so few cost next to nothing.
+ * Up to this many hosts form a full mesh, in which no host depends on another
+ * for its information. At this size the traffic is negligible.
  */
-const FEW_HOSTS = 16;
+const MAX_MESH_HOSTS = 16;
 
-/** A host that may coordinate. */
-export interface RankedHost {
+/** A host that may become a coordinator. */
+export interface CoordinatorCandidate {
   readonly hostId: string;
   readonly state: HostState;
 }
 
-/** Whether so many hosts, this one included, all tell each other everything. */
+/** Whether this number of hosts, this one included, forms a full mesh. */
 export function isMeshOf(hostCount: number): boolean {
-  return hostCount <= FEW_HOSTS;
+  return hostCount <= MAX_MESH_HOSTS;
 }
 
 /**
- * Order in which hosts take over work for all: the first ones coordinate and
- * read the store, and the first ones of a group place for it, so that few hosts
- * are told everything at once.
+ * The order in which hosts take on work for others. The first ones coordinate
+ * and read the store, and the first ones of a group place requests for it, so
+ * that few hosts need the latest state at once.
  */
 export function rankHost(hostId: string): number {
   return hashText(`placer|${hostId}`);
 }
 
-/** Ranks of hosts, each worked out once: they are asked for all the time. */
+/** Caches the rank of each host, as ranks are looked up very often. */
 export function createHostRanks(): (hostId: string) => number {
   const ranks = new Map<string, number>();
   return hostId => {
@@ -48,16 +48,16 @@
 }
 
 /**
- * The first by rank that are not about to leave. Those that do not answer this
- * host are passed over, though others may still take them for alive.
+ * The first hosts by rank that are not leaving. Hosts that do not respond to
+ * this host are skipped, even if others still consider them alive.
  */
 export function chooseCoordinators(
-  hosts: readonly RankedHost[],
+  hosts: readonly CoordinatorCandidate[],
   rankOf: (hostId: string) => number,
-  isAnswering: (hostId: string) => boolean,
+  isResponsive: (hostId: string) => boolean,
 ): readonly string[] {
   return hosts
-    .filter(({hostId, state}) => state !== 'leaving' && isAnswering(hostId))
+    .filter(({hostId, state}) => state !== 'leaving' && isResponsive(hostId))
     .map(({hostId}) => ({hostId, rank: rankOf(hostId)}))
     .sort((a, b) => a.rank - b.rank)
     .slice(0, COORDINATOR_COUNT)
--- a/src/relay/fleet/member_log.ts
+++ b/src/relay/fleet/member_log.ts
@@ -1,39 +1,45 @@
-/** The changes of the last moments, as a coordinator tells them. */
+/**
+ * The most recent membership changes, which coordinators send in their views.
+ */
 
 import type {Clock} from '../../ports/clock.js';
 import type {MemberChange} from './members.js';
 
 export interface MemberLog {
-  note(change: MemberChange): void;
+  record(change: MemberChange): void;
   /** The last change of each host, oldest first. */
   recent(): readonly MemberChange[];
 }
 
-/** Four views: three of them may be lost. */
-const TOLD_FOR_MS = 1_600;
-/** More at once come with a mass restart; who lacks them asks for the list. */
-const MOST_TOLD = 128;
+/** Covers four views, three of which may be lost. */
+const RETENTION_MS = 1_600;
+/**
+ * A mass restart exceeds this; hosts that miss changes fetch the whole list.
+ */
+const MAX_REPORTED_CHANGES = 128;
 
 function hostOf(change: MemberChange): string {
   return change.kind === 'up' ? change.member.hostId : change.hostId;
 }
 
 export function createMemberLog(clock: Clock): MemberLog {
-  /** By host; the last change of a host counts. */
-  const told = new Map<string, {change: MemberChange; atMs: number}>();
+  /** By host id; only the last change of a host is kept. */
+  const changesById = new Map<string, {change: MemberChange; atMs: number}>();
   return {
-    note(change) {
+    record(change) {
       const hostId = hostOf(change);
-      told.delete(hostId);
-      told.set(hostId, {change, atMs: clock.nowMs()});
+      changesById.delete(hostId);
+      changesById.set(hostId, {change, atMs: clock.nowMs()});
     },
     recent() {
       const nowMs = clock.nowMs();
-      for (const [hostId, {atMs}] of told) {
-        if (nowMs - atMs < TOLD_FOR_MS) break;
-        told.delete(hostId);
+      for (const [hostId, {atMs}] of changesById) {
+        if (nowMs - atMs < RETENTION_MS) break;
+        changesById.delete(hostId);
       }
-      return [...told.values()].slice(-MOST_TOLD).map(({change}) => change);
+      return [...changesById.values()]
+        .slice(-MAX_REPORTED_CHANGES)
+        .map(({change}) => change);
     },
   };
 }
--- a/src/relay/fleet/members.ts
+++ b/src/relay/fleet/members.ts
@@ -1,20 +1,20 @@
-/** The hosts of a deployment as each of them knows the others. */
+/** The hosts of a deployment, and the table of members that each host keeps. */
 
 import {hashText} from '../../core/hash_text.js';
 
 export type HostState = 'starting' | 'ready' | 'leaving';
 
-/** What every host knows of a live one. */
+/** The record of a live host, known to every host. */
 export interface Member {
   readonly hostId: string;
   /** Differs for each start of the process. */
   readonly incarnation: string;
-  /** UDP and TCP, between our own processes. */
+  /** For UDP and TCP between the hosts. */
   readonly peerAddress: string;
   readonly callerAddress: string;
   readonly failureDomain: string;
   readonly state: HostState;
-  /** Whether its own last call to the store was answered. */
+  /** Whether this host's last call to the store was answered. */
   readonly isStoreReachable: boolean;
 }
 
@@ -22,9 +22,9 @@
   | {readonly kind: 'up'; readonly member: Member}
   | {readonly kind: 'down'; readonly hostId: string};
 
-/** The live hosts that one host knows of. */
+/** The live hosts known to one host. */
 export interface MemberTable {
-  /** False if the same was known. */
+  /** False if the member is unchanged. */
   set(member: Member): boolean;
   delete(hostId: string): boolean;
   clear(): void;
@@ -32,7 +32,7 @@
   /** The same array until something changes. */
   list(): readonly Member[];
   count(): number;
-  /** Equal for tables with equal members, in whatever order they came. */
+  /** Equal for tables with equal members, regardless of insertion order. */
   digest(): number;
 }
 
@@ -49,10 +49,10 @@
   return {
     set(member) {
       const before = entries.get(member.hostId);
-      const own = digestMember(member);
-      if (before?.digest === own) return false;
-      digest ^= (before?.digest ?? 0) ^ own;
-      entries.set(member.hostId, {member, digest: own});
+      const newDigest = digestMember(member);
+      if (before?.digest === newDigest) return false;
+      digest ^= (before?.digest ?? 0) ^ newDigest;
+      entries.set(member.hostId, {member, digest: newDigest});
       list = undefined;
       return true;
     },
--- a/src/relay/fleet/membership.ts
+++ b/src/relay/fleet/membership.ts
@@ -1,20 +1,22 @@
 /**
- * Which hosts live, as far as this host can tell, and who tells whom.
+ * Tracks which hosts are alive.
  *
- * Few hosts each go by what they hear of each other. Of many, three coordinators
- * hear all; the others go by the word of the first of these that has had time
- * to hear everyone. What a host hears itself always counts.
+ * In a small deployment (a full mesh), each host relies on the datagrams it
+ * receives from the others directly. In a larger one, three coordinators
+ * receive datagrams from all hosts, and every other host follows the first
+ * settled coordinator in rank order. A host's own direct evidence that a peer
+ * is alive always takes precedence.
  *
- * Word of who is gone goes down the order of coordinators only: a coordinator
- * goes by what it hears itself. Hosts that told on whatever they were told would
- * keep a dead one alive among them.
+ * Followers accept removals from the coordinator they follow; a settled
+ * coordinator relies on direct evidence alone. If hosts passed on whatever they
+ * were told, they could keep a dead host alive among them indefinitely.
  */
 
 import type {Clock} from '../../ports/clock.js';
 import type {Logger} from '../../ports/log.js';
 import {chooseCoordinators, createHostRanks, isMeshOf} from './coordinators.js';
-import {createFollowedMembers, type MembersView} from './followed_members.js';
-import {createHeardPeers, type HeardPeer} from './heard_peers.js';
+import {createReportedMembers, type MembersView} from './reported_members.js';
+import {createDirectPeers, type DirectPeer} from './direct_peers.js';
 import {createMemberLog} from './member_log.js';
 import {
   createMemberTable,
@@ -22,91 +24,104 @@
   type Member,
   type MemberChange,
 } from './members.js';
-import type {KnowingPeer} from './peer_datagrams.js';
+import type {PeerSyncState} from './peer_datagrams.js';
 
 export interface MembershipHost {
   readonly clock: Clock;
   readonly log: Logger;
-  /** This host as others are to know it. */
+  /** This host's own record, as announced to others. */
   self(): Member;
   onGone(hostId: string): void;
-  /** The host is no longer heard, though it may live by others' word. */
-  onUnheard(hostId: string): void;
-  /** Live hosts, or what is known of them, have changed. */
+  /**
+   * The host's datagrams stopped; a coordinator may still report it as alive.
+   */
+  onPeerSilent(hostId: string): void;
+  /** The list of live hosts, or a member's record, has changed. */
   onChange(): void;
-  /** As a coordinator, this host has found others dead. */
-  onSilent(): void;
-  /** All members that the peer knows; undefined if it does not answer. */
+  /** This host, acting as a coordinator, has declared others dead. */
+  onLossDetected(): void;
+  /**
+   * The peer's list of members, itself included; undefined if it does not
+   * answer.
+   */
   fetchMembers(from: Member): Promise<readonly Member[] | undefined>;
 }
 
 export interface MembershipOptions {
   readonly hostId: string;
-  /** How often `tick` is called. */
+  /** Interval at which the caller calls `tick`. */
   readonly tickMs: number;
 }
 
 export interface Membership {
-  /** Whether hosts are so few that all tell each other everything. */
+  /** Whether there are few enough hosts for a full mesh. */
   isMesh(): boolean;
-  /** Whether this host hears all others and tells them who lives. */
+  /** Whether this host receives all states and sends views to the others. */
   isCoordinator(): boolean;
-  /** First choice first, this host perhaps among them. */
+  /** Coordinators in rank order; may include this host. */
   coordinatorIds(): readonly string[];
-  /** Whether a coordinator that hears all tells this host who lives. */
+  /** Whether a settled coordinator is sending views to this host. */
   isFollowing(): boolean;
-  /** As a coordinator: all that live have had time to be heard. */
+  /**
+   * On a coordinator: whether every live host has had time to send its state.
+   */
   isSettled(): boolean;
-  /** Live hosts but this one; the same array until something changes. */
+  /** Live hosts except this one; the same array until something changes. */
   list(): readonly Member[];
-  /** A live host, or one that was heard before. */
+  /** A live host, or one whose datagrams were received earlier. */
   find(hostId: string): Member | undefined;
-  /** Peers ever known, dead ones too. */
+  /** Number of peers ever seen, dead ones included. */
   knownCount(): number;
-  isHeard(hostId: string): boolean;
-  /** What the live peers that this host hears know of the store. */
-  knowledge(): readonly KnowingPeer[];
-  /** False for word that later word of the same life has overtaken. */
-  noteHeard(peer: HeardPeer): boolean;
-  /** Whether an earlier word of the same life said that it is settled. */
+  hasDirectPeer(hostId: string): boolean;
+  /** The store state announced by each live peer that sends to this host. */
+  peerSyncStates(): readonly PeerSyncState[];
+  /** False if a later datagram of the same incarnation was already received. */
+  recordPeer(peer: DirectPeer): boolean;
+  /** Whether an earlier view of the same incarnation was marked as settled. */
   wasSettled(hostId: string, incarnation: string): boolean;
-  follow(view: MembersView, fromHostId: string): void;
-  /** A coordinator was sent what it needs to know this host. */
-  noteTold(hostId: string): void;
-  /** Ends peers that were silent for too long, and the like. */
+  applyView(view: MembersView, fromHostId: string): void;
+  /** The state of this host was sent to a coordinator. */
+  noteStateSent(hostId: string): void;
+  /** Runs the periodic checks, such as removing silent peers. */
   tick(): void;
-  /** As a coordinator: hosts that should have been heard by now. */
-  lateMembers(): readonly Member[];
-  /** The same, those lost lately, and members never heard. */
+  /** On a coordinator: hosts whose next datagram is overdue. */
+  overdueMembers(): readonly Member[];
+  /** On a coordinator: overdue, recently lost and never received members. */
   missedIds(): readonly string[];
-  /** What this host knows of all, for those that go by its word. */
+  /**
+   * This host's digest of all members and its recent changes, for followers.
+   */
   view(): MembersView;
 }
 
-/** Three repeats in a row lost, or the peer is dead, frozen or cut off. */
-const SILENT_REPEATS = 3.6;
-/** A coordinator asks a host that was silent for this long whether it lives. */
-const LATE_REPEATS = 2;
 /**
- * A coordinator takes a host for dead once another one misses it, too, or
- * after so many times the silence: a coordinator whose own link loses packets
- * must not take living hosts out of the answers of all.
+ * Three datagrams in a row were lost, or the peer is dead, frozen or cut off.
  */
-const ALONE_FACTOR = 2;
-/** A new coordinator has heard all that live and know it by then. */
+const LOST_AFTER_INTERVALS = 3.6;
+/**
+ * After this many intervals, a coordinator asks a silent host for its state.
+ */
+const OVERDUE_AFTER_INTERVALS = 2;
+/**
+ * A coordinator removes a silent host once another coordinator misses it too,
+ * or after this many times the usual limit. Without the confirmation, a
+ * coordinator with a lossy link would remove live hosts for everyone.
+ */
+const UNCONFIRMED_FACTOR = 2;
+/** Time for a new coordinator to receive a datagram from every live host. */
 const SETTLE_MS = 2_500;
 /**
- * A coordinator that was told the state of this host and says nothing is passed
- * over: whoever is asked for a view sends one at once.
+ * A coordinator that has not answered this long after it was first sent a state
+ * is skipped. A coordinator answers a request for a view immediately.
  */
-const NO_ANSWER_MS = 500;
-/** One that was passed over is tried again after this. */
-const TRY_AGAIN_MS = 20_000;
-/** For this long other coordinators are told of a host that was lost. */
-const LOSS_TOLD_MS = 5_000;
-/** A tick that is so late shows that this process stood still. */
-const SUSPENDED_MS = 1_000;
-const MOST_MISSED_TOLD = 200;
+const VIEW_TIMEOUT_MS = 500;
+/** A skipped coordinator is tried again after this. */
+const COORDINATOR_RETRY_MS = 20_000;
+/** How long a lost host is reported to the other coordinators. */
+const LOSS_REPORTED_FOR_MS = 5_000;
+/** A tick this late shows that the process was suspended. */
+const MIN_SUSPENSION_MS = 1_000;
+const MAX_REPORTED_MISSED = 200;
 
 export function createMembership(
   host: MembershipHost,
@@ -115,39 +130,39 @@
   const {clock, log} = host;
   const {hostId: ownId, tickMs} = options;
   const rankOf = createHostRanks();
-  const heard = createHeardPeers(clock);
-  const followed = createFollowedMembers({
+  const directPeers = createDirectPeers(clock);
+  const reportedMembers = createReportedMembers({
     clock,
     onChange: refresh,
     fetchMembers: host.fetchMembers,
   });
   const live = createMemberTable();
   const changes = createMemberLog(clock);
-  const known = new Set<string>();
-  /** By host: when this one, as a coordinator, lost it. */
+  const knownIds = new Set<string>();
+  /** By host id: when this host, as a coordinator, declared it dead. */
   const lostAtMs = new Map<string, number>();
-  /** When each coordinator was first told the state of this host as such. */
-  const toldSinceMs = new Map<string, number>();
+  /** By coordinator id: when this host first sent it a state. */
+  const firstSentAtMs = new Map<string, number>();
   let lastTickAtMs: number | undefined;
-  /** Undefined when it has to be worked out anew. */
+  /** Undefined when it must be recomputed. */
   let coordinators: readonly string[] | undefined;
-  let coordinatesSinceMs: number | undefined;
-  let toldSelfDigest: number | undefined;
+  let coordinatorSinceMs: number | undefined;
+  let reportedOwnDigest: number | undefined;
 
-  /** Follows from what this host hears and from what it is told. */
+  /** Recomputes a member from direct evidence and coordinator reports. */
   function refresh(hostId: string): void {
     if (hostId === ownId) return;
     const before = live.get(hostId);
-    const now = heard.get(hostId)?.member ?? followed.get(hostId);
+    const now = directPeers.get(hostId)?.member ?? reportedMembers.get(hostId);
     const isGone = before && before.incarnation !== now?.incarnation;
     const isChanged = now ? live.set(now) : live.delete(hostId);
     if (!isChanged) return;
     if (now) {
-      known.add(hostId);
-      changes.note({kind: 'up', member: now});
-      if (!before) log.info('Peer known.', {peer: hostId, state: now.state});
+      knownIds.add(hostId);
+      changes.record({kind: 'up', member: now});
+      if (!before) log.info('Peer found.', {peer: hostId, state: now.state});
     } else {
-      changes.note({kind: 'down', hostId});
+      changes.record({kind: 'down', hostId});
       log.info('Peer lost.', {peer: hostId});
     }
     coordinators = undefined;
@@ -155,17 +170,17 @@
     host.onChange();
   }
 
-  function isAnswering(hostId: string): boolean {
-    if (hostId === ownId || heard.get(hostId)) return true;
-    const sinceMs = toldSinceMs.get(hostId);
-    return sinceMs === undefined || clock.nowMs() - sinceMs < NO_ANSWER_MS;
+  function isResponsive(hostId: string): boolean {
+    if (hostId === ownId || directPeers.get(hostId)) return true;
+    const sinceMs = firstSentAtMs.get(hostId);
+    return sinceMs === undefined || clock.nowMs() - sinceMs < VIEW_TIMEOUT_MS;
   }
 
   function coordinatorIds(): readonly string[] {
     coordinators ??= chooseCoordinators(
       [host.self(), ...live.list()],
       rankOf,
-      isAnswering,
+      isResponsive,
     );
     return coordinators;
   }
@@ -173,89 +188,93 @@
   const isMesh = () => isMeshOf(live.count() + 1);
   const isCoordinator = () => !isMesh() && coordinatorIds().includes(ownId);
 
-  /** The coordinator whose word this host takes for who is gone. */
+  /** The coordinator whose removals this host accepts. */
   function findLeader(): string | undefined {
     return coordinatorIds().find(
-      id => id !== ownId && heard.get(id)?.isSettled,
+      id => id !== ownId && directPeers.get(id)?.isSettled,
     );
   }
 
   function isSettled(): boolean {
-    if (coordinatesSinceMs === undefined) return false;
-    return clock.nowMs() - coordinatesSinceMs >= SETTLE_MS;
+    if (coordinatorSinceMs === undefined) return false;
+    return clock.nowMs() - coordinatorSinceMs >= SETTLE_MS;
   }
 
-  function noteCoordinating(): void {
+  function updateCoordinatorRole(): void {
     const nowMs = clock.nowMs();
-    for (const [hostId, sinceMs] of toldSinceMs) {
-      if (nowMs - sinceMs >= TRY_AGAIN_MS) toldSinceMs.delete(hostId);
+    for (const [hostId, sinceMs] of firstSentAtMs) {
+      if (nowMs - sinceMs >= COORDINATOR_RETRY_MS) firstSentAtMs.delete(hostId);
     }
-    // Who answers changes with time.
+    // Responsiveness changes with time.
     coordinators = undefined;
-    const isNow = isCoordinator();
-    if (isNow === (coordinatesSinceMs !== undefined)) return;
-    coordinatesSinceMs = isNow ? nowMs : undefined;
-    const sentence = isNow
+    const isCoordinatorNow = isCoordinator();
+    if (isCoordinatorNow === (coordinatorSinceMs !== undefined)) return;
+    coordinatorSinceMs = isCoordinatorNow ? nowMs : undefined;
+    const message = isCoordinatorNow
       ? 'Tells all who lives.'
-      : 'Goes by what it is told.';
+      : 'No longer coordinates the members.';
     const coordinates = coordinatorIds().join(' ');
-    log.info(sentence, {members: live.count(), coordinates});
+    log.info(message, {members: live.count(), coordinates});
   }
 
-  const isLate = (peer: HeardPeer) =>
-    heard.silentMs(peer) >= LATE_REPEATS * peer.nextWithinMs;
+  const isOverdue = (peer: DirectPeer) =>
+    directPeers.silentMs(peer) >= OVERDUE_AFTER_INTERVALS * peer.nextWithinMs;
 
-  /** Whether another coordinator misses the host, or there is none to ask. */
-  function isMissedElsewhere(hostId: string): boolean {
+  /**
+   * Whether another coordinator misses the host, or no other one can be asked.
+   */
+  function isLossConfirmed(hostId: string): boolean {
     const others = coordinatorIds()
       .filter(id => id !== ownId && id !== hostId)
-      .map(id => heard.get(id))
+      .map(id => directPeers.get(id))
       .filter(each => each !== undefined);
     if (others.length === 0) return true;
     return others.some(({missedIds}) => missedIds.includes(hostId));
   }
 
-  function checkSilent(): void {
-    const needsWitness = isCoordinator();
-    const lost = heard.takeSilent(peer => {
-      const mostMs = SILENT_REPEATS * peer.nextWithinMs;
-      const silentMs = heard.silentMs(peer);
-      if (silentMs < mostMs) return false;
-      if (!needsWitness || silentMs >= ALONE_FACTOR * mostMs) return true;
-      return isMissedElsewhere(peer.member.hostId);
+  function removeSilentPeers(): void {
+    const mustConfirm = isCoordinator();
+    const lost = directPeers.declareSilent(peer => {
+      const limitMs = LOST_AFTER_INTERVALS * peer.nextWithinMs;
+      const silentMs = directPeers.silentMs(peer);
+      if (silentMs < limitMs) return false;
+      if (!mustConfirm || silentMs >= UNCONFIRMED_FACTOR * limitMs) return true;
+      return isLossConfirmed(peer.member.hostId);
     });
     for (const {member} of lost) {
-      if (needsWitness) lostAtMs.set(member.hostId, clock.nowMs());
-      host.onUnheard(member.hostId);
+      if (mustConfirm) lostAtMs.set(member.hostId, clock.nowMs());
+      host.onPeerSilent(member.hostId);
       refresh(member.hostId);
     }
     if (lost.length === 0) return;
     coordinators = undefined;
-    if (needsWitness) host.onSilent();
+    if (mustConfirm) host.onLossDetected();
   }
 
   /**
-   * Guards against a process that stood still and takes all others for dead:
-   * they had no chance to be heard, and as a coordinator it would tell all
-   * hosts so. The gap between two ticks shows it.
+   * Detects that this process was suspended, by the gap between two ticks.
+   * Without this, it would declare all peers dead because it received nothing
+   * meanwhile, and as a coordinator it would report that to all hosts.
    */
-  function noteSuspension(): void {
+  function checkSuspension(): void {
     const nowMs = clock.nowMs();
-    const stoodStillMs = nowMs - (lastTickAtMs ?? nowMs) - tickMs;
+    const suspendedMs = nowMs - (lastTickAtMs ?? nowMs) - tickMs;
     lastTickAtMs = nowMs;
-    if (stoodStillMs < SUSPENDED_MS) return;
-    log.warn('This process stood still.', {
-      durationMs: Math.round(stoodStillMs),
+    if (suspendedMs < MIN_SUSPENSION_MS) return;
+    log.warn('The process was suspended.', {
+      durationMs: Math.round(suspendedMs),
     });
-    heard.wasSuspended(stoodStillMs);
-    followed.renew();
-    if (coordinatesSinceMs !== undefined) coordinatesSinceMs = nowMs;
+    directPeers.noteSuspension(suspendedMs);
+    reportedMembers.renew();
+    if (coordinatorSinceMs !== undefined) coordinatorSinceMs = nowMs;
   }
 
-  /** The last coordinator to miss a host needs the word of the first, too. */
-  function lostLately(): readonly string[] {
+  /**
+   * Reported so that the last coordinator to miss a host gets its confirmation.
+   */
+  function recentlyLostIds(): readonly string[] {
     for (const [hostId, atMs] of lostAtMs) {
-      if (clock.nowMs() - atMs >= LOSS_TOLD_MS) lostAtMs.delete(hostId);
+      if (clock.nowMs() - atMs >= LOSS_REPORTED_FOR_MS) lostAtMs.delete(hostId);
     }
     return [...lostAtMs.keys()];
   }
@@ -263,8 +282,8 @@
   function recentChanges(): readonly MemberChange[] {
     const own = host.self();
     const digest = digestMember(own);
-    if (digest !== toldSelfDigest) changes.note({kind: 'up', member: own});
-    toldSelfDigest = digest;
+    if (digest !== reportedOwnDigest) changes.record({kind: 'up', member: own});
+    reportedOwnDigest = digest;
     return changes.recent();
   }
 
@@ -275,56 +294,57 @@
     isFollowing: () => findLeader() !== undefined,
     isSettled,
     list: live.list,
-    find: hostId => live.get(hostId) ?? heard.last(hostId)?.member,
-    knownCount: () => known.size,
-    isHeard: hostId => heard.get(hostId) !== undefined,
-    knowledge: () => heard.live().map(({knowledge}) => knowledge),
-    noteHeard(peer) {
+    find: hostId => live.get(hostId) ?? directPeers.getLast(hostId)?.member,
+    knownCount: () => knownIds.size,
+    hasDirectPeer: hostId => directPeers.get(hostId) !== undefined,
+    peerSyncStates: () => directPeers.live().map(({syncState}) => syncState),
+    recordPeer(peer) {
       const {hostId, incarnation} = peer.member;
-      const last = heard.last(hostId);
-      const isSameLife = last?.member.incarnation === incarnation;
-      if (isSameLife && peer.sequence <= last.sequence) return false;
-      heard.set(peer);
+      const last = directPeers.getLast(hostId);
+      const isSameIncarnation = last?.member.incarnation === incarnation;
+      if (isSameIncarnation && peer.sequence <= last.sequence) return false;
+      directPeers.set(peer);
       lostAtMs.delete(hostId);
       refresh(hostId);
       return true;
     },
     wasSettled(hostId, incarnation) {
-      const last = heard.last(hostId);
+      const last = directPeers.getLast(hostId);
       return last?.member.incarnation === incarnation && last.isSettled;
     },
-    follow(view, fromHostId) {
-      const from = heard.get(fromHostId)?.member;
+    applyView(view, fromHostId) {
+      const from = directPeers.get(fromHostId)?.member;
       if (!from) return;
       if (isCoordinator()) {
-        // One that has just begun asks for views until it has heard everyone.
-        // Else who sends it a view knows others that come before it by rank.
-        const hasLastWord = !isSettled() && findLeader() === fromHostId;
-        followed.hear(view, from, hasLastWord);
+        // A new coordinator asks for views until it is settled. Later, a view
+        // comes only from a host that knows other coordinators ranked above
+        // this one.
+        const isAuthoritative = !isSettled() && findLeader() === fromHostId;
+        reportedMembers.applyView(view, from, isAuthoritative);
         return;
       }
       const leader = findLeader();
       if (leader === undefined || leader === fromHostId) {
-        followed.hear(view, from, leader === fromHostId);
+        reportedMembers.applyView(view, from, leader === fromHostId);
       } else if (coordinatorIds().includes(fromHostId)) {
-        followed.renew();
+        reportedMembers.renew();
       }
     },
-    noteTold(hostId) {
-      if (!toldSinceMs.has(hostId)) toldSinceMs.set(hostId, clock.nowMs());
+    noteStateSent(hostId) {
+      if (!firstSentAtMs.has(hostId)) firstSentAtMs.set(hostId, clock.nowMs());
     },
     tick() {
-      noteSuspension();
-      checkSilent();
-      noteCoordinating();
-      if (isSettled()) followed.clear();
-      else followed.expire();
+      checkSuspension();
+      removeSilentPeers();
+      updateCoordinatorRole();
+      if (isSettled()) reportedMembers.clear();
+      else reportedMembers.expire();
     },
-    lateMembers() {
+    overdueMembers() {
       if (!isCoordinator()) return [];
-      return heard
+      return directPeers
         .live()
-        .filter(isLate)
+        .filter(isOverdue)
         .map(({member}) => member);
     },
     missedIds() {
@@ -333,10 +353,10 @@
         .list()
         .map(({hostId}) => hostId)
         .filter(hostId => {
-          const peer = heard.get(hostId);
-          return !peer || isLate(peer);
+          const peer = directPeers.get(hostId);
+          return !peer || isOverdue(peer);
         });
-      return [...lostLately(), ...missed].slice(0, MOST_MISSED_TOLD);
+      return [...recentlyLostIds(), ...missed].slice(0, MAX_REPORTED_MISSED);
     },
     view() {
       const memberChanges = recentChanges();
--- a/src/relay/fleet/owners.ts
+++ b/src/relay/fleet/owners.ts
@@ -1,11 +1,13 @@
-/** Which hosts decide about a thing that one of them has to decide. */
+/**
+ * Chooses the host that owns a key, so that one host makes the decisions on it.
+ */
 
 import {createBoundedMap, type BoundedMap} from '../../core/bounded_map.js';
 import {hashText} from '../../core/hash_text.js';
 
 /**
- * The hosts in the order in which they own it: the same at all hosts that know
- * the same ones, and another for each key, so that none owns everything.
+ * The hosts in order of ownership of the key. All hosts with the same list get
+ * the same order, and the order differs by key to spread the ownership.
  */
 export function rankOwners(
   topic: string,
@@ -19,27 +21,29 @@
 }
 
 export interface OwnerRankingHost {
-  /** Hosts that may own something; the same array until one changes. */
+  /** Hosts that may own a key; the same array until one changes. */
   candidates(): readonly string[];
 }
 
-/** Orders of this many keys are kept. */
-const MOST_KEPT = 1_024;
+/** Maximum number of keys whose order is cached. */
+const MAX_CACHED_KEYS = 1_024;
 
 /**
- * As `rankOwners`, worked out once for each key while the hosts are the same:
- * with a thousand hosts an order costs more than all the rest of an ask.
+ * Like `rankOwners`, but cached by key while the candidates stay the same: with
+ * a thousand hosts, computing the order costs more than the rest of a peer
+ * request.
  */
 export function createOwnerRanking(
   topic: string,
   host: OwnerRankingHost,
 ): (key: string) => readonly string[] {
-  let rankedOf: readonly string[] | undefined;
-  let orders: BoundedMap<readonly string[]> = createBoundedMap(MOST_KEPT);
+  let rankedCandidates: readonly string[] | undefined;
+  let orders: BoundedMap<readonly string[]> = createBoundedMap(MAX_CACHED_KEYS);
   return key => {
     const candidates = host.candidates();
-    if (candidates !== rankedOf) orders = createBoundedMap(MOST_KEPT);
-    rankedOf = candidates;
+    if (candidates !== rankedCandidates)
+      orders = createBoundedMap(MAX_CACHED_KEYS);
+    rankedCandidates = candidates;
     const order = orders.get(key) ?? rankOwners(topic, key, candidates);
     if (!orders.has(key)) orders.set(key, order);
     return order;
--- a/src/relay/fleet/peer_codec.ts
+++ b/src/relay/fleet/peer_codec.ts
@@ -1,14 +1,14 @@
 /**
- * Datagrams between relays, made small: most of a state is names of fields and
- * values that hardly change.
+ * Compresses datagrams between relays. Most of a state consists of field names
+ * and values that rarely change.
  */
 
 import {deflateRawSync, inflateRawSync} from 'node:zlib';
 
 /**
- * Text that states are made of. All hosts must have the same: another one
- * needs another `FORMAT`, so that a host of another version reads nothing
- * wrong, but nothing at all.
+ * Preset dictionary of text that is common in states. It must be the same on
+ * all hosts; a change needs a new `FORMAT`, so that hosts of another version
+ * reject the datagram instead of decoding it wrongly.
  */
 const DICTIONARY = Buffer.from(
   '{"kind":"up","member":{"hostId":"front-","incarnation":"",' +
@@ -34,27 +34,36 @@
     '"sequence":100,"nextWithinMs":700,"known":[],"missedIds":[]}' +
     '"isSettled":true,"wants":"view"}',
 );
-/** First byte of a compressed datagram; others are JSON and begin with `{`. */
+/** First byte of a compressed datagram; uncompressed JSON begins with `{`. */
 const FORMAT = 7;
-/** Below this, a datagram is sent as it is. */
-const SMALL_BYTES = 300;
-const MOST_BYTES = 256 * 1024;
-/** A window of 4 kB holds the dictionary and a state; more costs memory. */
-const OPTIONS = {dictionary: DICTIONARY, windowBits: 12, memLevel: 4};
+/** Smaller datagrams are sent uncompressed. */
+const MIN_COMPRESSED_BYTES = 300;
+const MAX_DECODED_BYTES = 256 * 1024;
+/**
+ * A window of 4 kB holds the dictionary and a state; more would cost memory.
+ */
+const COMPRESSION_OPTIONS = {
+  dictionary: DICTIONARY,
+  windowBits: 12,
+  memLevel: 4,
+};
 
 export function encodeDatagram(value: unknown): Buffer {
   const text = Buffer.from(JSON.stringify(value));
-  if (text.length < SMALL_BYTES) return text;
-  return Buffer.concat([Buffer.of(FORMAT), deflateRawSync(text, OPTIONS)]);
+  if (text.length < MIN_COMPRESSED_BYTES) return text;
+  return Buffer.concat([
+    Buffer.of(FORMAT),
+    deflateRawSync(text, COMPRESSION_OPTIONS),
+  ]);
 }
 
-/** Throws for what is neither. */
+/** Throws if the payload is in neither format. */
 export function decodeDatagram(payload: Uint8Array): unknown {
   const bytes =
     payload[0] === FORMAT
       ? inflateRawSync(payload.subarray(1), {
-          ...OPTIONS,
-          maxOutputLength: MOST_BYTES,
+          ...COMPRESSION_OPTIONS,
+          maxOutputLength: MAX_DECODED_BYTES,
         })
       : Buffer.from(payload);
   return JSON.parse(bytes.toString('utf8'));
--- a/src/relay/fleet/peer_datagrams.ts
+++ b/src/relay/fleet/peer_datagrams.ts
@@ -1,4 +1,4 @@
-/** What goes between the relays of a deployment, and how it is read. */
+/** The datagrams that relays exchange, and their validation. */
 
 import type {PermitMessage} from '../backpressure/permit_messages.js';
 import type {LimitRecord} from '../backpressure/upstream_limits.js';
@@ -13,118 +13,128 @@
 import type {LearnedSums} from '../placement/shared_learning.js';
 import type {SlotMessage} from '../plain/slot_messages.js';
 import type {Waiting} from '../placement/wait_rules.js';
-import type {MembersView} from './followed_members.js';
+import type {MembersView} from './reported_members.js';
 import type {HostState, Member} from './members.js';
 import {decodeDatagram} from './peer_codec.js';
-import type {StoreKnowledge} from './store_readers.js';
+import type {StoreSyncState} from './store_readers.js';
 
-/** Who waits at a host: ages when the datagram was sent. */
+/** A request waiting at a host; its age is as of sending the datagram. */
 export interface WaitingRecord {
   readonly service: string;
   readonly ageMs: number;
-  /** Until the first event would be late; negative once it is. */
+  /** Time left until the first event would be late; negative once it is. */
   readonly onTimeMs: number;
   readonly giveUpMs: number;
 }
 
-/** What a host, or all hosts together, found out about the upstreams. */
+/** What one host, or all hosts together, found out about the upstreams. */
 export interface UpstreamFindings {
-  /** Engines that fail requests now. */
+  /** Engines that are currently failing requests. */
   readonly suspects: readonly string[];
-  /** Upstreams to which no connection could be made. */
+  /** Upstreams to which connections fail. */
   readonly unreachable: readonly string[];
-  /** Engines that were told to change their role. */
+  /** Engines that were ordered to change their role. */
   readonly changing: readonly string[];
-  /** What was seen of how engines work. */
+  /** Statistics on the performance of engines. */
   readonly learned: LearnedSums;
   /** Requests that crashed engines. */
   readonly losses: readonly LossFact[];
-  /** Limits that upstreams name; absent where there are none. */
+  /** Limits set by upstreams; absent if there are none. */
   readonly limits?: readonly LimitRecord[];
-  /** Upstreams that said that they leave; absent where there are none. */
+  /**
+   * Upstreams that announced that they are leaving; absent if there are none.
+   */
   readonly leaving?: readonly string[];
 }
 
-/** The part of a datagram that the relay fills in. */
-export interface Announcement extends StoreKnowledge, UpstreamFindings {
+/** The part of a state datagram that the relay fills in. */
+export interface Announcement extends StoreSyncState, UpstreamFindings {
   readonly state: HostState;
   readonly callerAddress: string;
   readonly failureDomain: string;
   readonly load: HostLoad;
   readonly waiting: readonly WaitingRecord[];
-  /** Engines that refused this host's requests a moment ago. */
+  /** Engines that recently refused requests of this host. */
   readonly full: readonly string[];
-  /** What this host asked the receiver for and has booked by now. */
+  /**
+   * Requests to the receiver whose reservations this host now accounts for
+   * itself.
+   */
   readonly adoptedAskIds: readonly number[];
-  /** What this host let through for client accounts. */
+  /** What this host admitted for client accounts. */
   readonly spending: readonly SpendingRecord[];
-  /** Since its process began. */
+  /** Time since the process started. */
   readonly aliveMs: number;
 }
 
-/** What a coordinator tells all hosts, of itself and of all. */
-export interface Summary extends StoreKnowledge, UpstreamFindings {
-  /** What all hosts have promised of the engines; not in each view. */
+/**
+ * What a coordinator sends to all hosts, about itself and the whole deployment.
+ */
+export interface Summary extends StoreSyncState, UpstreamFindings {
+  /** Engine reservations of all hosts; not included in every view. */
   readonly load?: HostLoad;
   /** Client accounts near their limit. */
   readonly accountLevels: readonly AccountLevel[];
 }
 
-/** One peer as it is known here. */
+/** The last state received from a peer. */
 export interface Peer extends Announcement, Member {
   readonly heardAtMs: number;
 }
 
-/** A peer that tells what it knows of the store. */
-export interface KnowingPeer extends StoreKnowledge {
+/** A peer and the state of its sync with the store. */
+export interface PeerSyncState extends StoreSyncState {
   readonly hostId: string;
   readonly peerAddress: string;
 }
 
-/** What a host that knows too little wants from the receiver, at once. */
+/** What a host without a full view asks the receiver to send immediately. */
 export type WantedReply = 'state' | 'view';
 
-interface DatagramHead {
+interface DatagramHeader {
   readonly from: string;
   readonly incarnation: string;
-  /** Of all states and views of this life of the sender. */
+  /** Counts the states and views of this incarnation of the sender. */
   readonly sequence: number;
-  /** The receiver hears again within this time. */
+  /** The sender's next datagram to the receiver is due within this time. */
   readonly nextWithinMs: number;
 }
 
-/** The whole state of its sender. */
-export interface StateDatagram extends Announcement, DatagramHead {
+/** The complete state of its sender. */
+export interface StateDatagram extends Announcement, DatagramHeader {
   readonly kind: 'state';
-  /** Other live hosts, so that a new one finds all by any, where few. */
+  /**
+   * In a full mesh: other live hosts, so that a new host can find all by any
+   * one.
+   */
   readonly known: readonly string[];
-  /** Members that this coordinator has not heard when it should have. */
+  /** Members whose datagrams the sender, as a coordinator, is missing. */
   readonly missedIds: readonly string[];
   readonly wants?: WantedReply;
 }
 
-/** What one host knows of all, for those that go by its word. */
-export interface ViewDatagram extends Summary, DatagramHead, MembersView {
+/** A coordinator's summary of the whole deployment, for its followers. */
+export interface ViewDatagram extends Summary, DatagramHeader, MembersView {
   readonly kind: 'view';
   readonly state: HostState;
   readonly callerAddress: string;
   readonly failureDomain: string;
-  /** Every live member has had time to tell the sender that it lives. */
+  /** Every live member has had time to send its state to the sender. */
   readonly isSettled: boolean;
 }
 
-/** What one host tells another that is meant for it alone. */
+/** A message addressed to one host alone. */
 export type PeerMessage =
   PlacementMessage | SlotMessage | QuotaMessage | PermitMessage;
 
-/** A message to one peer. */
-export interface Letter {
+/** A datagram with a message to one peer. */
+export interface MessageDatagram {
   readonly kind: 'letter';
   readonly from: string;
   readonly message: PeerMessage;
 }
 
-export type PeerDatagram = StateDatagram | ViewDatagram | Letter;
+export type PeerDatagram = StateDatagram | ViewDatagram | MessageDatagram;
 
 function isObject(value: unknown): value is Record<string, unknown> {
   return typeof value === 'object' && value !== null;
@@ -150,7 +160,7 @@
   );
 }
 
-function hasFindings(value: Record<string, unknown>): boolean {
+function isSyncAndFindings(value: Record<string, unknown>): boolean {
   const {suspects, unreachable, changing, losses, learned} = value;
   const {routingAges, upstreamAges, listDeltas, sequence} = value;
   const {upstreamRevision} = value;
@@ -168,14 +178,14 @@
   );
 }
 
-const CHECKS: Readonly<
+const VALIDATORS: Readonly<
   Record<PeerDatagram['kind'], (value: Record<string, unknown>) => boolean>
 > = {
   letter: ({message}) => isObject(message),
   view(value) {
     const {memberChanges, accountLevels} = value;
     const lists = [memberChanges, accountLevels];
-    return lists.every(list => Array.isArray(list)) && hasFindings(value);
+    return lists.every(list => Array.isArray(list)) && isSyncAndFindings(value);
   },
   state(value) {
     const {known, missedIds, full, waiting, adoptedAskIds, load} = value;
@@ -183,19 +193,21 @@
     if (!Number.isFinite(aliveMs)) return false;
     const lists = [known, missedIds, full, waiting, adoptedAskIds, spending];
     const hasLists = lists.every(list => Array.isArray(list));
-    return hasLists && isObject(load) && hasFindings(value);
+    return hasLists && isObject(load) && isSyncAndFindings(value);
   },
 };
 
 function isDatagram(value: Record<string, unknown>): boolean {
   const {kind} = value;
-  if (typeof kind !== 'string' || !Object.hasOwn(CHECKS, kind)) return false;
-  return CHECKS[kind as PeerDatagram['kind']](value);
+  if (typeof kind !== 'string' || !Object.hasOwn(VALIDATORS, kind))
+    return false;
+  return VALIDATORS[kind as PeerDatagram['kind']](value);
 }
 
 /**
- * Undefined for what is not from a peer: anything may arrive at an open port,
- * and another version of the program may say other things.
+ * Decodes and validates a datagram. Returns undefined for anything invalid: the
+ * port is open to any sender, and other versions of the program may use other
+ * formats.
  */
 export function parseDatagram(payload: Uint8Array): PeerDatagram | undefined {
   try {
@@ -203,12 +215,12 @@
     if (!isObject(value) || typeof value['from'] !== 'string') return undefined;
     return isDatagram(value) ? (value as unknown as PeerDatagram) : undefined;
   } catch {
-    // Neither of our formats, so not from a peer.
+    // Neither of the two formats, so it is not from a peer.
     return undefined;
   }
 }
 
-/** Puts a peer's waiting requests on this host's clock. */
+/** Converts a peer's waiting requests to the times of this host's clock. */
 export function toLocalWaiting(
   record: WaitingRecord,
   heardAtMs: number,
--- a/src/relay/fleet/peer_exchange.ts
+++ b/src/relay/fleet/peer_exchange.ts
@@ -1,15 +1,15 @@
 /**
- * What the relays of a deployment tell each other: that they live and serve,
- * what they have promised of the engines, who waits, and which configuration
- * they have.
+ * Exchanges state between the relays of a deployment: liveness, engine
+ * reservations, waiting requests and configuration versions.
  *
- * Few hosts tell each other everything. Of many, each tells its state to the
- * hosts that place for it and to three coordinators; these tell all others who
- * lives and what all need to know. What a host sends and hears is then the same
- * however many they are, but for the coordinators.
+ * Few hosts form a full mesh and send their state to all others. In a larger
+ * deployment, each host sends its state to its placers and to three
+ * coordinators, which send the list of members and a summary to all others. The
+ * traffic of a host other than a coordinator is therefore independent of the
+ * number of hosts.
  *
- * Each state and each view is whole, so that a lost one is made good by the
- * next.
+ * Each state and each view is complete, so the next one makes up for a lost
+ * one.
  */
 
 import type {TimerHandle} from '../../ports/clock.js';
@@ -18,7 +18,7 @@
 import {encodeDatagram} from './peer_codec.js';
 import {
   parseDatagram,
-  type Letter,
+  type MessageDatagram,
   type StateDatagram,
   type ViewDatagram,
   type WantedReply,
@@ -32,32 +32,33 @@
 import {createProbeAddresses} from './probe_addresses.js';
 import {createSendSchedule} from './send_schedule.js';
 
-/** How often a host looks what is due. */
+/** How often a host checks which datagrams are due. */
 const TICK_MS = 250;
-/** Where hosts are few, all hear each other this often. */
-const MESH_STATE_MS = 250;
-/** Coordinators find a dead host within 2.2 s. */
-const STATE_MS = 600;
-/** A coordinator repeats what all go by this often. */
-const VIEW_MS = 500;
-/** It looks this often to whom its view is due. */
+/** Interval between states in a full mesh. */
+const MESH_STATE_INTERVAL_MS = 250;
+/** With this interval, coordinators detect a dead host within 2.2 s. */
+const STATE_INTERVAL_MS = 600;
+/** Interval between the views that a coordinator sends to a host. */
+const VIEW_INTERVAL_MS = 500;
+/** How often a coordinator checks which views are due. */
 const VIEW_TICK_MS = 50;
 /**
- * It tells so many at once, or so large a part of all: datagrams to hundreds
- * in one moment overflow a small host's link.
+ * At most this many views are sent per tick, or the share of all hosts below if
+ * that is more: hundreds of datagrams at once overflow a small host's link.
  */
-const FEWEST_VIEWS_AT_ONCE = 48;
-const VIEW_TICKS_FOR_ALL = 6;
-/** Changes closer together than this go out as one. */
-const GATHER_MS = 4;
-/** Each so many looks a view carries the load of the engines. */
-const LOAD_TICKS = 5;
-/** Addresses named in one datagram; they take turns. */
-const MAX_NAMED = 8;
+const MAX_VIEWS_PER_TICK = 48;
+/** The share of all hosts that get a view per tick is one in this many. */
+const VIEW_ROUND_TICKS = 6;
+/** Changes within this time are sent together. */
+const COALESCE_MS = 4;
+/** Every nth view tick includes the load of the engines, which is large. */
+const LOAD_INTERVAL_TICKS = 5;
+/** Maximum number of addresses advertised in one datagram, in rotation. */
+const MAX_ADVERTISED = 8;
 /** From the narrowest to the widest. */
 const REACHES: readonly ChangeReach[] = ['near', 'coordinators', 'all'];
 
-/** A host that is told the state of this one. */
+/** A host that receives this host's state. */
 interface StateTarget {
   readonly hostId: string;
   readonly address: string;
@@ -83,9 +84,9 @@
       log,
       self,
       onGone: host.onPeerGone,
-      onUnheard: host.onPeerUnheard,
+      onPeerSilent: host.onPeerUnheard,
       onChange: host.onMembers,
-      onSilent: () => changed('all'),
+      onLossDetected: () => changed('all'),
       fetchMembers: host.fetchMembers,
     },
     {hostId: ownId, tickMs: TICK_MS},
@@ -99,44 +100,46 @@
   const viewSchedule = createSendSchedule(clock, VIEW_TICK_MS);
   let sequence = 0;
   let viewTicks = 0;
-  let firstNamed = 0;
-  let gatherTimer: TimerHandle | undefined;
+  let advertisedOffset = 0;
+  let coalesceTimer: TimerHandle | undefined;
   let tickTimer: TimerHandle | undefined;
   let viewTimer: TimerHandle | undefined;
-  /** Whom the change reaches that waits to be sent. */
+  /** The widest reach of the changes waiting to be sent. */
   let pendingReach: ChangeReach | undefined;
   let isStopped = false;
   let targets: readonly StateTarget[] | undefined;
-  /** The members that they were chosen of. */
-  let targetsOf: readonly Member[] | undefined;
+  /** The list of members from which the targets were computed. */
+  let targetsSource: readonly Member[] | undefined;
 
-  /** The next few live peers, so that all are named in turn. */
-  function nextNamed(): readonly string[] {
+  /** The next few live peers in rotation, so that all get advertised. */
+  function nextAdvertised(): readonly string[] {
     const list = membership.list();
     if (!isMesh() || list.length === 0) return [];
-    const count = Math.min(MAX_NAMED, list.length);
-    const named = Array.from(
+    const count = Math.min(MAX_ADVERTISED, list.length);
+    const advertised = Array.from(
       {length: count},
-      (_, i) => list[(firstNamed + i) % list.length].peerAddress,
+      (_, i) => list[(advertisedOffset + i) % list.length].peerAddress,
     );
-    firstNamed = (firstNamed + count) % list.length;
-    return named;
+    advertisedOffset = (advertisedOffset + count) % list.length;
+    return advertised;
   }
 
   function stateIntervalMs(): number {
-    if (isMesh()) return MESH_STATE_MS;
-    // What a reader knows reaches the others by way of the coordinators.
-    return host.isReader() && !isCoordinator() ? MESH_STATE_MS : STATE_MS;
+    if (isMesh()) return MESH_STATE_INTERVAL_MS;
+    // A reader's store state reaches the others through the coordinators.
+    return host.isReader() && !isCoordinator()
+      ? MESH_STATE_INTERVAL_MS
+      : STATE_INTERVAL_MS;
   }
 
   function wantedReply(): WantedReply | undefined {
-    const knowsAll = isCoordinator()
+    const hasFullView = isCoordinator()
       ? membership.isSettled()
       : membership.isFollowing();
-    return knowsAll ? undefined : 'view';
+    return hasFullView ? undefined : 'view';
   }
 
-  /** Encodes the state once for all that get the same. */
+  /** Encodes the state once for all receivers. */
   function createStateSender(): (address: string, wants?: WantedReply) => void {
     const nextWithinMs = stateIntervalMs();
     const payloads = new Map<WantedReply | undefined, Buffer>();
@@ -149,36 +152,36 @@
         incarnation,
         sequence: ++sequence,
         nextWithinMs,
-        known: nextNamed(),
+        known: nextAdvertised(),
         missedIds: membership.missedIds(),
       };
       const payload = payloads.get(wants) ?? encodeDatagram({...state, wants});
       payloads.set(wants, payload);
-      stateSchedule.sent(address, nextWithinMs);
+      stateSchedule.noteSent(address, nextWithinMs);
       datagrams.send(address, payload);
     };
   }
 
-  /** Encodes the view once for all that get it. */
+  /** Encodes the view once for all receivers. */
   function createViewSender(): (address: string) => void {
     let payload: Buffer | undefined;
     return address => {
-      payload ??= encodeDatagram(makeView());
-      viewSchedule.sent(address, VIEW_MS);
+      payload ??= encodeDatagram(createView());
+      viewSchedule.noteSent(address, VIEW_INTERVAL_MS);
       datagrams.send(address, payload);
     };
   }
 
-  function makeView(): ViewDatagram {
+  function createView(): ViewDatagram {
     const {state, callerAddress, failureDomain} = host.ownState();
     return {
-      ...host.summary(viewTicks % LOAD_TICKS === 0),
+      ...host.summary(viewTicks % LOAD_INTERVAL_TICKS === 0),
       ...membership.view(),
       kind: 'view',
       from: ownId,
       incarnation,
       sequence: ++sequence,
-      nextWithinMs: VIEW_MS,
+      nextWithinMs: VIEW_INTERVAL_MS,
       state,
       callerAddress,
       failureDomain,
@@ -186,21 +189,21 @@
     };
   }
 
-  /** To all that are due, and a change to those whom it reaches. */
-  function send(reach?: ChangeReach): void {
+  /** Sends what is due, and a change to the hosts within its reach. */
+  function sendDue(reach?: ChangeReach): void {
     if (isStopped) return;
     sendStates(reach);
-    if (reach === 'all') viewSchedule.expedite();
+    if (reach === 'all') viewSchedule.makeAllDue();
     sendProbes();
   }
 
-  /** Worked out anew with each tick and each change of the members. */
+  /** Recomputed on each tick and when the list of members changes. */
   function findTargets(): readonly StateTarget[] {
     const list = membership.list();
-    if (targets && targetsOf === list) return targets;
+    if (targets && targetsSource === list) return targets;
     const isAll = isMesh();
     const coordinatorIds = new Set(membership.coordinatorIds());
-    targetsOf = list;
+    targetsSource = list;
     targets = list
       .map(({hostId, peerAddress: address}) => ({
         hostId,
@@ -216,7 +219,7 @@
     const sendState = createStateSender();
     for (const target of findTargets()) {
       const {hostId, address, isNear} = target;
-      if (target.isCoordinator) membership.noteTold(hostId);
+      if (target.isCoordinator) membership.noteStateSent(hostId);
       const isReached = reach !== undefined && (isNear || reach !== 'near');
       if (isReached || stateSchedule.isDue(address)) sendState(address);
     }
@@ -228,14 +231,14 @@
       .list()
       .filter(({hostId}) => !coordinatorIds.has(hostId))
       .filter(each => viewSchedule.isDue(each.peerAddress));
-    const share = Math.ceil(membership.list().length / VIEW_TICKS_FOR_ALL);
+    const share = Math.ceil(membership.list().length / VIEW_ROUND_TICKS);
     const sendView = createViewSender();
-    for (const each of due.slice(0, Math.max(FEWEST_VIEWS_AT_ONCE, share))) {
+    for (const each of due.slice(0, Math.max(MAX_VIEWS_PER_TICK, share))) {
       sendView(each.peerAddress);
     }
   }
 
-  /** Goes on for as long as this host coordinates. */
+  /** Runs for as long as this host is a coordinator. */
   function viewTick(): void {
     viewTimer = undefined;
     if (isStopped || !isCoordinator()) return;
@@ -244,7 +247,7 @@
     viewTimer = clock.setTimer(VIEW_TICK_MS, viewTick);
   }
 
-  /** Only who knows too little, or whom all go by, looks for other hosts. */
+  /** In a large deployment, followers do not probe for other hosts. */
   function sendProbes(): void {
     if (!isMesh() && !isCoordinator() && membership.isFollowing()) return;
     const list = membership.list();
@@ -255,10 +258,13 @@
     }
   }
 
-  /** A coordinator asks late hosts once more before it misses them. */
-  function askLate(): void {
+  /**
+   * As a coordinator, asks overdue hosts for their state before they count as
+   * lost.
+   */
+  function probeOverdue(): void {
     const sendState = createStateSender();
-    for (const member of membership.lateMembers()) {
+    for (const member of membership.overdueMembers()) {
       sendState(member.peerAddress, 'state');
     }
   }
@@ -266,8 +272,8 @@
   function tick(): void {
     membership.tick();
     targets = undefined;
-    send();
-    askLate();
+    sendDue();
+    probeOverdue();
     if (!viewTimer) viewTick();
     if (!isStopped) tickTimer = clock.setTimer(TICK_MS, tick);
   }
@@ -288,13 +294,13 @@
     }
   }
 
-  /** False for a datagram that a later one has overtaken. */
-  function noteHeard(
+  /** False for a datagram that arrives after a later one. */
+  function recordPeer(
     address: string,
     datagram: StateDatagram | ViewDatagram,
   ): boolean {
     const {from, state, callerAddress, failureDomain} = datagram;
-    const isNew = membership.noteHeard({
+    const isNew = membership.recordPeer({
       member: {
         hostId: from,
         incarnation: datagram.incarnation,
@@ -304,7 +310,7 @@
         state,
         isStoreReachable: datagram.isStoreReachable,
       },
-      knowledge: {...datagram, hostId: from, peerAddress: address},
+      syncState: {...datagram, hostId: from, peerAddress: address},
       sequence: datagram.sequence,
       heardAtMs: clock.nowMs(),
       nextWithinMs: datagram.nextWithinMs,
@@ -314,43 +320,43 @@
           : membership.wasSettled(from, datagram.incarnation),
       missedIds: datagram.kind === 'state' ? datagram.missedIds : [],
     });
-    if (isNew) probes.heard(address);
+    if (isNew) probes.noteReceived(address);
     return isNew;
   }
 
   function receiveState(address: string, datagram: StateDatagram): void {
     const {from, wants} = datagram;
-    const wasHeard = membership.isHeard(from);
-    if (!noteHeard(address, datagram)) return;
+    const wasKnown = membership.hasDirectPeer(from);
+    if (!recordPeer(address, datagram)) return;
     if (isMesh()) probes.add(datagram.known);
     const heardAtMs = clock.nowMs();
     host.onPeer({...datagram, hostId: from, peerAddress: address, heardAtMs});
-    // It may not know this host yet.
-    if (!wasHeard && isMesh()) changed();
+    // The peer may not know this host yet.
+    if (!wasKnown && isMesh()) changed();
     if (wants === 'state') createStateSender()(address);
     if (wants !== 'view' || isMesh()) return;
     if (viewSchedule.isDue(address)) createViewSender()(address);
   }
 
   function receiveView(address: string, view: ViewDatagram): void {
-    if (!noteHeard(address, view)) return;
-    membership.follow(view, view.from);
+    if (!recordPeer(address, view)) return;
+    membership.applyView(view, view.from);
     host.onSummary(view.from, view);
   }
 
   function sendChange(): void {
     const reach = pendingReach;
-    gatherTimer = undefined;
+    coalesceTimer = undefined;
     pendingReach = undefined;
-    send(reach);
+    sendDue(reach);
   }
 
   function changed(reach: ChangeReach = 'near'): void {
     const isWider =
       !pendingReach || REACHES.indexOf(reach) > REACHES.indexOf(pendingReach);
     if (isWider) pendingReach = reach;
-    if (gatherTimer || isStopped) return;
-    gatherTimer = clock.setTimer(GATHER_MS, sendChange);
+    if (coalesceTimer || isStopped) return;
+    coalesceTimer = clock.setTimer(COALESCE_MS, sendChange);
   }
 
   return {
@@ -360,7 +366,7 @@
     },
     stop() {
       isStopped = true;
-      if (gatherTimer) clock.clearTimer(gatherTimer);
+      if (coalesceTimer) clock.clearTimer(coalesceTimer);
       if (tickTimer) clock.clearTimer(tickTimer);
       if (viewTimer) clock.clearTimer(viewTimer);
     },
@@ -368,13 +374,13 @@
     tell(hostId, message) {
       const member = membership.find(hostId);
       if (!member || isStopped) return;
-      const letter: Letter = {kind: 'letter', from: ownId, message};
-      datagrams.send(member.peerAddress, encodeDatagram(letter));
+      const datagram: MessageDatagram = {kind: 'letter', from: ownId, message};
+      datagrams.send(member.peerAddress, encodeDatagram(datagram));
     },
     addAddresses: probes.add,
     alive: membership.list,
     members: () => [self(), ...membership.list()],
-    heard: membership.knowledge,
+    heard: membership.peerSyncStates,
     coordinatorIds: () => (isMesh() ? [] : membership.coordinatorIds()),
     isCoordinator,
     isFollowing: membership.isFollowing,
--- a/src/relay/fleet/peer_exchange_types.ts
+++ b/src/relay/fleet/peer_exchange_types.ts
@@ -1,4 +1,4 @@
-/** What the exchange between relays asks of its host, and offers it. */
+/** The interface between the exchange of state with peers and the relay. */
 
 import type {Clock} from '../../ports/clock.js';
 import type {DatagramPort} from '../../ports/datagram.js';
@@ -6,19 +6,20 @@
 import type {HostState, Member} from './members.js';
 import type {
   Announcement,
-  KnowingPeer,
+  PeerSyncState,
   Peer,
   PeerMessage,
   Summary,
 } from './peer_datagrams.js';
 
 /**
- * Whom a change reaches before the next repeat: those that place for this
- * host; with them the coordinators; or, from a coordinator, all.
+ * Who receives a change immediately instead of with the next periodic datagram:
+ * the placers of this host; these and the coordinators; or, from a coordinator,
+ * all hosts.
  */
 export type ChangeReach = 'near' | 'coordinators' | 'all';
 
-/** What a host tells of itself beside its name and address. */
+/** The host's own fields of its member record, except its id and addresses. */
 export interface OwnState {
   readonly state: HostState;
   readonly callerAddress: string;
@@ -32,27 +33,30 @@
   readonly datagrams: DatagramPort;
   ownState(): OwnState;
   announcement(): Announcement;
-  /** What a coordinator tells all; the load is large. */
+  /** The summary a coordinator sends to all hosts; the load makes it large. */
   summary(hasLoad: boolean): Summary;
-  /** A peer told its state. */
+  /** A peer's state was received. */
   onPeer(peer: Peer): void;
-  /** A coordinator told what it knows of all. */
+  /** A coordinator's summary was received. */
   onSummary(fromHostId: string, summary: Summary): void;
   onPeerGone(hostId: string): void;
   /**
-   * The peer tells this host nothing any more: what it told is no longer so.
-   * It may live, and tell others.
+   * The peer no longer sends to this host, so its last state is outdated. It
+   * may be alive and still send to others.
    */
   onPeerUnheard(hostId: string): void;
-  /** Live hosts, or what is known of them, have changed. */
+  /** The list of live hosts, or a member's record, has changed. */
   onMembers(): void;
-  /** Whether the peer is to hear of each change at once. */
+  /** Whether the peer is to receive each change of this host immediately. */
   isNear(hostId: string): boolean;
-  /** Whether others go by what this host reads from the store. */
+  /** Whether other hosts rely on this host's reads of the store. */
   isReader(): boolean;
-  /** A peer told this host something that is meant for it alone. */
+  /** A peer sent a message to this host alone. */
   onMessage(fromHostId: string, message: PeerMessage): void;
-  /** All members that the peer knows; undefined if it does not answer. */
+  /**
+   * The peer's list of members, itself included; undefined if it does not
+   * answer.
+   */
   fetchMembers(from: Member): Promise<readonly Member[] | undefined>;
 }
 
@@ -66,26 +70,26 @@
 export interface PeerExchange {
   start(): void;
   stop(): void;
-  /** Something has changed that others should hear of before the next repeat. */
+  /** Sends a change soon, without waiting for the next periodic datagram. */
   changed(reach?: ChangeReach): void;
-  /** Tells one peer something; it may be lost, as all datagrams. */
+  /** Sends a datagram to one peer, without a guarantee of delivery. */
   tell(hostId: string, message: PeerMessage): void;
-  /** Other hosts to talk to, for example from the registry. */
+  /** Adds addresses to probe for hosts, for example from the registry. */
   addAddresses(addresses: readonly string[]): void;
-  /** Live hosts but this one; the same array until something changes. */
+  /** Live hosts except this one; the same array until something changes. */
   alive(): readonly Member[];
-  /** The same with this host, for those that ask. */
+  /** Live hosts including this one. */
   members(): readonly Member[];
-  /** Live peers that this host hears itself. */
-  heard(): readonly KnowingPeer[];
-  /** Hosts that hear all others, first choice first; none where few. */
+  /** Live peers that send datagrams to this host. */
+  heard(): readonly PeerSyncState[];
+  /** Coordinators in rank order; empty in a full mesh. */
   coordinatorIds(): readonly string[];
-  /** Whether this host is one of them. */
+  /** Whether this host is a coordinator. */
   isCoordinator(): boolean;
-  /** Whether a coordinator that hears all tells this host who lives. */
+  /** Whether a settled coordinator is sending views to this host. */
   isFollowing(): boolean;
-  /** Whether hosts are so few that all tell each other everything. */
+  /** Whether there are few enough hosts for a full mesh. */
   isMesh(): boolean;
-  /** Peers ever known, dead ones too. */
+  /** Number of peers ever seen, dead ones included. */
   knownCount(): number;
 }
--- a/src/relay/fleet/peer_handover.ts
+++ b/src/relay/fleet/peer_handover.ts
@@ -1,10 +1,10 @@
 /**
- * Hands the configuration and the list of upstreams to hosts that cannot read
- * them from the store themselves, and fetches them from a peer on such a host.
+ * Fetches the configuration and the list of upstreams from a peer when this
+ * host cannot read them from the store, and serves both to peers.
  *
- * Guards against a host that the store turns away while it serves the others:
- * it would send to upstreams that left long ago, or, just started, know
- * nothing and refuse every caller.
+ * Guards against a host that cannot reach the store while the others can: it
+ * would send requests to upstreams that left long ago, or, if just started,
+ * refuse every caller.
  */
 
 import {readWhole, type HttpExchange} from '../../adapters/http_exchange.js';
@@ -13,14 +13,14 @@
 import type {Logger} from '../../ports/log.js';
 import type {RoutingSource} from '../../ports/relay.js';
 import type {Member} from './members.js';
-import type {KnowingPeer} from './peer_datagrams.js';
+import type {PeerSyncState} from './peer_datagrams.js';
 import type {RoutingState} from '../routing_state.js';
 import type {SideHandler} from '../front/side_server.js';
 import type {UpstreamSnapshot} from '../../core/upstream.js';
 import type {UpstreamRegistry} from '../store/upstream_registry.js';
 import type {StoreTime} from '../accounts/store_time.js';
 
-export interface PeerHandoverHost {
+export interface PeerSyncHost {
   readonly clock: Clock;
   readonly log: Logger;
   readonly exchange: HttpExchange;
@@ -28,45 +28,49 @@
   readonly routingSource: RoutingSource;
   readonly registry: UpstreamRegistry;
   readonly storeTime: StoreTime;
-  /** Live peers that this host hears itself. */
-  peers(): readonly KnowingPeer[];
-  /** Live hosts, this one among them. */
+  /** Live peers that send datagrams to this host. */
+  peers(): readonly PeerSyncState[];
+  /** Live hosts including this one. */
   members(): readonly Member[];
   /** Age of this host's list of upstreams. */
   upstreamAgeMs(): number;
-  /** The list came from a peer, as old as this. */
+  /** A list of the given age was applied from a peer. */
   onUpstreams(ageMs: number): void;
 }
 
-export interface PeerHandover {
+export interface PeerSync {
   start(): void;
   stop(): void;
-  /** The live hosts that the peer knows; undefined if it does not answer. */
+  /** The live hosts known to the peer; undefined if it does not answer. */
   fetchMembers(from: Member): Promise<readonly Member[] | undefined>;
-  /** Answers peers that ask. */
+  /** Serves requests from peers. */
   readonly handler: SideHandler;
 }
 
 const ROUTING_PATH = '/peer/routing';
 const UPSTREAMS_PATH = '/peer/upstreams';
 const MEMBERS_PATH = '/peer/members';
-const LOOK_EVERY_MS = 200;
-/** The store is read every 0.7 s; a list older than this is not being read. */
-const STALE_MS = 1_300;
-/** A peer's version is fetched once the own feed has had time to bring it. */
-const ROUTING_WAIT_MS = 400;
+const CHECK_INTERVAL_MS = 200;
+/**
+ * The store is read every 0.7 s; an older list means that reads are failing.
+ */
+const MAX_FRESH_AGE_MS = 1_300;
+/**
+ * Time for this host's own feed to deliver a version before a peer is asked.
+ */
+const FEED_WAIT_MS = 400;
 const CONNECT_TIMEOUT_MS = 200;
 const FETCH_TIMEOUT_MS = 400;
-const MAX_BYTES = 4 * 1024 * 1024;
+const MAX_RESPONSE_BYTES = 4 * 1024 * 1024;
 
-interface HandedUpstreams {
+interface UpstreamsResponse {
   readonly ageMs: number;
   readonly snapshot: UpstreamSnapshot;
-  /** No earlier than the store's clock; absent where that is not known. */
+  /** A lower bound of the store's time; absent if it is not known. */
   readonly storeNow?: StoreMoment;
 }
 
-export function createPeerHandover(host: PeerHandoverHost): PeerHandover {
+export function createPeerHandover(host: PeerSyncHost): PeerSync {
   const {clock, log, exchange, routing, registry} = host;
   let timer: TimerHandle | undefined;
   let isStopped = false;
@@ -86,14 +90,14 @@
       mayReuseConnection: false,
     });
     if (head.kind !== 'answered') return undefined;
-    const bytes = await readWhole(head.body, MAX_BYTES);
+    const bytes = await readWhole(head.body, MAX_RESPONSE_BYTES);
     return head.status === 200 ? bytes?.toString('utf8') : undefined;
   }
 
   async function fetchRouting(): Promise<void> {
     const newest = host
       .peers()
-      .reduce<KnowingPeer | undefined>(
+      .reduce<PeerSyncState | undefined>(
         (best, peer) =>
           peer.routingVersion > (best?.routingVersion ?? routing.version())
             ? peer
@@ -105,7 +109,7 @@
       return;
     }
     behindSinceMs ??= clock.nowMs();
-    const isWaiting = clock.nowMs() - behindSinceMs < ROUTING_WAIT_MS;
+    const isWaiting = clock.nowMs() - behindSinceMs < FEED_WAIT_MS;
     if (isWaiting && routing.current()) return;
     const text = await fetch(newest, ROUTING_PATH);
     const offered = text && host.routingSource.decode(text);
@@ -114,27 +118,29 @@
 
   async function fetchUpstreams(): Promise<void> {
     const ownAgeMs = host.upstreamAgeMs();
-    if (ownAgeMs < STALE_MS) return;
+    if (ownAgeMs < MAX_FRESH_AGE_MS) return;
     const freshest = host
       .peers()
-      .filter(peer => peer.upstreamAges.ageMs < Math.min(STALE_MS, ownAgeMs))
+      .filter(
+        peer => peer.upstreamAges.ageMs < Math.min(MAX_FRESH_AGE_MS, ownAgeMs),
+      )
       .sort((a, b) => compareRevisions(b.upstreamRevision, a.upstreamRevision))
       .at(0);
     if (!freshest) return;
     const sentAt = host.storeTime.now();
     const text = await fetch(freshest, UPSTREAMS_PATH);
-    const handed = text ? parseHanded<HandedUpstreams>(text) : undefined;
-    if (!handed) return;
-    if (handed.storeNow) host.storeTime.note(sentAt, handed.storeNow);
-    const isTaken = registry.apply(handed.snapshot, 'peer');
-    if (isTaken) host.onUpstreams(handed.ageMs);
+    const response = text ? parseResponse<UpstreamsResponse>(text) : undefined;
+    if (!response) return;
+    if (response.storeNow) host.storeTime.note(sentAt, response.storeNow);
+    const isApplied = registry.apply(response.snapshot, 'peer');
+    if (isApplied) host.onUpstreams(response.ageMs);
   }
 
-  function parseHanded<T>(text: string): T | undefined {
+  function parseResponse<T>(text: string): T | undefined {
     try {
       return JSON.parse(text) as T;
     } catch (error) {
-      log.warn('A peer sent what cannot be read.', {
+      log.warn('A peer sent a response that cannot be parsed.', {
         reason: String(error),
       });
       return undefined;
@@ -143,7 +149,7 @@
 
   function tick(): void {
     void Promise.all([fetchRouting(), fetchUpstreams()]).finally(() => {
-      if (!isStopped) timer = clock.setTimer(LOOK_EVERY_MS, tick);
+      if (!isStopped) timer = clock.setTimer(CHECK_INTERVAL_MS, tick);
     });
   }
 
@@ -155,7 +161,7 @@
     },
     async fetchMembers(from) {
       const text = await fetch(from, MEMBERS_PATH);
-      return text ? parseHanded<readonly Member[]>(text) : undefined;
+      return text ? parseResponse<readonly Member[]>(text) : undefined;
     },
     handler(method, target) {
       if (method !== 'GET') return undefined;
@@ -171,12 +177,12 @@
       }
       const snapshot = registry.snapshot();
       if (target !== UPSTREAMS_PATH || !snapshot) return undefined;
-      const handed: HandedUpstreams = {
+      const response: UpstreamsResponse = {
         ageMs: Math.round(host.upstreamAgeMs()),
         snapshot,
         storeNow: host.storeTime.latest(),
       };
-      return {status: 200, contentType, body: JSON.stringify(handed)};
+      return {status: 200, contentType, body: JSON.stringify(response)};
     },
   };
 }
--- a/src/relay/fleet/send_schedule.ts
+++ b/src/relay/fleet/send_schedule.ts
@@ -1,4 +1,4 @@
-/** When each address is to hear from this host next. */
+/** When the next datagram to each address is due. */
 
 import {hashText} from '../../core/hash_text.js';
 import type {Clock} from '../../ports/clock.js';
@@ -6,34 +6,35 @@
 export interface SendSchedule {
   isDue(address: string): boolean;
   /**
-   * Something went there; the receiver expects more within the interval. The
-   * next is due some time before that, and for each receiver at another time:
-   * many datagrams in one moment overflow a small host's link, the same ones
-   * each time, and peers lose a host that lives.
+   * A datagram was sent to the address, and the receiver expects the next one
+   * within the interval. The next one is due somewhat earlier, with a jitter:
+   * many datagrams at once overflow a small host's link, and if the same ones
+   * were dropped each time, peers would declare live hosts dead.
    */
-  sent(address: string, intervalMs: number): void;
-  /** All are to hear at once. */
-  expedite(): void;
+  noteSent(address: string, intervalMs: number): void;
+  /** Makes datagrams to all addresses due immediately. */
+  makeAllDue(): void;
 }
 
-/** Repeats are spread over this part of their interval. */
-const SPREAD_SHARE = 0.35;
-/** Timers fire a little early or late; a tick is worth half of itself. */
-const EARLY_TICKS = 0.5;
+/** Share of the interval over which the due times are spread. */
+const JITTER_SHARE = 0.35;
+/** Timers fire slightly early or late; half a tick covers that. */
+const TIMER_TOLERANCE_TICKS = 0.5;
 const UINT32_RANGE = 2 ** 32;
 
-/** `tickMs` is how often its owner looks what is due. */
+/** `tickMs` is the interval at which the owner checks what is due. */
 export function createSendSchedule(clock: Clock, tickMs: number): SendSchedule {
   const dueAtMs = new Map<string, number>();
   let draws = 0;
   return {
     isDue: address => clock.nowMs() >= (dueAtMs.get(address) ?? 0),
-    sent(address, intervalMs) {
-      const latestMs = clock.nowMs() + intervalMs - EARLY_TICKS * tickMs;
+    noteSent(address, intervalMs) {
+      const latestMs =
+        clock.nowMs() + intervalMs - TIMER_TOLERANCE_TICKS * tickMs;
       const draw = hashText(`${address}|${draws++}`) / UINT32_RANGE;
-      const spreadMs = intervalMs <= tickMs ? 0 : SPREAD_SHARE * intervalMs;
-      dueAtMs.set(address, latestMs - draw * spreadMs);
+      const jitterMs = intervalMs <= tickMs ? 0 : JITTER_SHARE * intervalMs;
+      dueAtMs.set(address, latestMs - draw * jitterMs);
     },
-    expedite: () => dueAtMs.clear(),
+    makeAllDue: () => dueAtMs.clear(),
   };
 }
--- a/src/relay/fleet/store_readers.ts
+++ b/src/relay/fleet/store_readers.ts
@@ -1,10 +1,10 @@
 /**
- * Which hosts read the store for all, and how fresh that keeps the others.
+ * Selects the few hosts that read the store on behalf of all.
  *
  * A call to the store costs as much as a fifth of a posting, and all hosts
- * would read the same rows. A few read them as before; the others hear from
- * their peers that what they know is still so, and read by themselves only
- * when something has changed or nobody has confirmed it for too long.
+ * would read the same rows. The other hosts receive confirmations from their
+ * peers that their data is current, and read the store themselves only when
+ * something has changed or a confirmation is overdue.
  */
 
 import type {StoreMoment, StoreRevision} from '../../core/store_revision.js';
@@ -12,62 +12,62 @@
 import type {ConfirmedAges} from '../store/store_confirmation.js';
 import {createHostRanks} from './coordinators.js';
 
-/** What a host knows of the store, as it announces it. */
-export interface StoreKnowledge {
+/** The state of a host's sync with the store, as announced to peers. */
+export interface StoreSyncState {
   readonly routingVersion: number;
   readonly routingAges: ConfirmedAges;
   /**
-   * Every version before this is in force there; absent where that is not
-   * known.
+   * All versions written before this time are in force at the host; absent if
+   * unknown.
    */
   readonly routingCompleteUntil?: StoreMoment;
   readonly upstreamRevision: StoreRevision;
-  /** The same for lists that differ in nothing but signs of life. */
+  /** Equal for lists that differ only in heartbeats. */
   readonly upstreamDigest: number;
   readonly upstreamAges: ConfirmedAges;
-  /** Changes of the list that a reader saw a moment ago. */
+  /** Recent changes of the list, as seen by a reader. */
   readonly listDeltas: readonly ListDelta[];
-  /** Whether its own last call to the store was answered. */
+  /** Whether this host's last call to the store was answered. */
   readonly isStoreReachable: boolean;
 }
 
-/** A host as far as reading the store goes. */
-export interface ReadingHost {
+/** The part of a host's state that decides whether it reads the store. */
+export interface ReaderCandidate {
   readonly hostId: string;
-  /** Whether its own last call to the store was answered. */
+  /** Whether this host's last call to the store was answered. */
   readonly isStoreReachable: boolean;
 }
 
 export interface StoreReadersHost {
   readonly hostId: string;
   /** The same array until something changes. */
-  peers(): readonly ReadingHost[];
+  peers(): readonly ReaderCandidate[];
   isStoreReachable(): boolean;
 }
 
 export interface StoreReaders {
-  /** Whether this host is one of those that read for all. */
+  /** Whether this host reads the store on behalf of all. */
   isReader(): boolean;
-  /** Hosts that read for all, as far as this host can tell; first by rank. */
+  /** Hosts that read on behalf of all, as known to this host, in rank order. */
   readerIds(): readonly string[];
-  /** Whether others have to know if the store answers this host. */
+  /** Whether others need to know if this host can reach the store. */
   isCandidate(): boolean;
 }
 
-/** Two may fail at once, and the others still hear each 0.7 s. */
+/** Two may fail at once, and the rest still confirm every 0.7 s. */
 const READER_COUNT = 3;
 /**
- * Only the first ones by rank may read for all. All hosts hear of each change
- * of whether the store answers one of these; an outage that changes it for
- * hundreds of hosts at once would fill the links.
+ * Only the first hosts by rank may read on behalf of all. All hosts are
+ * informed when one of these loses or regains the store; an outage that did
+ * this for hundreds of hosts at once would fill the links.
  */
 const CANDIDATE_COUNT = 16;
 
 export function createStoreReaders(host: StoreReadersHost): StoreReaders {
   const rankOf = createHostRanks();
-  let rankedPeers: readonly ReadingHost[] | undefined;
+  let rankedPeers: readonly ReaderCandidate[] | undefined;
   let candidates: readonly string[] = [];
-  let peersById = new Map<string, ReadingHost>();
+  let peersById = new Map<string, ReaderCandidate>();
 
   function findCandidates(): readonly string[] {
     const peers = host.peers();
@@ -80,14 +80,14 @@
     return candidates;
   }
 
-  function isServed(hostId: string): boolean {
+  function canReachStore(hostId: string): boolean {
     if (hostId === host.hostId) return host.isStoreReachable();
     return peersById.get(hostId)?.isStoreReachable ?? false;
   }
 
-  /** The store may turn some hosts away; these go by what the others read. */
+  /** Hosts that cannot reach the store rely on the reads of the others. */
   const findReaders = () =>
-    findCandidates().filter(isServed).slice(0, READER_COUNT);
+    findCandidates().filter(canReachStore).slice(0, READER_COUNT);
 
   return {
     isReader: () => findReaders().includes(host.hostId),
--- a/src/relay/store/store_watch.ts
+++ b/src/relay/store/store_watch.ts
@@ -31,7 +31,7 @@
 import type {RoutingState} from '../routing_state.js';
 import {createHostRegistration} from './host_registration.js';
 import {createStoreConfirmation} from './store_confirmation.js';
-import type {StoreKnowledge} from '../fleet/store_readers.js';
+import type {StoreSyncState} from '../fleet/store_readers.js';
 import type {StoreEra} from './store_era.js';
 import type {UpstreamRegistry} from './upstream_registry.js';
 
@@ -67,13 +67,13 @@
   unregister(): void;
   stop(): void;
   /** What is known, and since when the store has confirmed it. */
-  knowledge(): StoreKnowledge;
+  knowledge(): StoreSyncState;
   /** Since the store confirmed the list, as far as this host can tell. */
   listAgeMs(): number;
   /** Whether the last call to the store was answered. */
   isStoreReachable(): boolean;
   /** A peer confirms what is known here, or has something newer. */
-  hear(peer: StoreKnowledge): void;
+  hear(peer: StoreSyncState): void;
   /** A peer handed its list over, as old as this. */
   noteHandedList(ageMs: number): void;
 }
@@ -335,7 +335,7 @@
     timers.delete(timer);
   }
 
-  function hearRouting(peer: StoreKnowledge): void {
+  function hearRouting(peer: StoreSyncState): void {
     const {routingCompleteUntil} = peer;
     if (routingCompleteUntil && peer.routingVersion <= routing.version()) {
       freshness.noteCompleteUntil(routingCompleteUntil);
@@ -357,7 +357,7 @@
     wakeUpstreams();
   }
 
-  function hearUpstreams(peer: StoreKnowledge): void {
+  function hearUpstreams(peer: StoreSyncState): void {
     registry.noteServed(clock.nowMs() - peer.upstreamAges.ageMs);
     const {upstreamRevision} = peer;
     storeEra.note(upstreamRevision.era);
--- a/tests/relay/fleet/few_hosts_test.ts
+++ b/tests/relay/fleet/few_hosts_test.ts
@@ -1,10 +1,10 @@
-/** Few hosts, each of which tells all others what it knows. */
+/** Tests of a full mesh, in which each host sends its state to all others. */
 
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
 import {makeFleet} from './fleet_network.js';
 
-test('hosts find each other by one seed, though another is stale', async () => {
+test('hosts find each other through one live seed although another is stale', async () => {
   const {clock, start} = makeFleet();
   const a = start('a', []);
   const b = start('b', ['gone:1', a.address]);
@@ -14,9 +14,9 @@
   assert.deepEqual(c.entries(), ['a:80', 'b:80', 'c:80']);
 });
 
-test('a dead host is out of the answers within a second, and back when it lives', async () => {
-  // Callers lose a second each to an entry that is dark: the answers still
-  // name it long after it died.
+test('directory answers omit a dead host within a second and include it again once it is alive', async () => {
+  // Guards against directory answers that name a dead host for long: a caller
+  // loses a second with each attempt to connect to it.
   const {clock, cutBetween, heal, start} = makeFleet();
   const a = start('a', []);
   const b = start('b', [a.address]);
@@ -29,7 +29,7 @@
   assert.deepEqual(b.entries(), ['a:80', 'b:80']);
 });
 
-test('a host that leaves is out of the answers at once', async () => {
+test('directory answers omit a leaving host immediately', async () => {
   const {clock, start} = makeFleet();
   const a = start('a', []);
   const b = start('b', [a.address]);
@@ -37,10 +37,14 @@
   a.setState('leaving');
   await clock.advance(10);
   assert.deepEqual(b.entries(), ['b:80']);
-  assert.deepEqual(a.entries(), ['b:80'], 'it names others, not itself');
+  assert.deepEqual(
+    a.entries(),
+    ['b:80'],
+    'a leaving host names the others only',
+  );
 });
 
-test('an answer is never empty while an entry lives', async () => {
+test('a directory answer is never empty while a host is ready', async () => {
   const {clock, cutBetween, start} = makeFleet();
   const a = start('a', []);
   start('b', [a.address]);
@@ -52,9 +56,9 @@
   assert.deepEqual(a.entries(), []);
 });
 
-test('a datagram that was overtaken does not bring an old state back', async () => {
-  // Callers are sent to an entry that has left: a datagram from before it
-  // began to leave took longer than the one that said so.
+test('a datagram that arrives after a later one does not restore the old state', async () => {
+  // Guards against callers being sent to a host that has left: a datagram sent
+  // before the host began to leave arrives after the one that announced it.
   const {clock, start, lastPayload, deliver} = makeFleet();
   const a = start('a', []);
   const b = start('b', [a.address]);
@@ -68,7 +72,7 @@
   assert.deepEqual(b.entries(), ['b:80']);
 });
 
-test('a message reaches the peer that it is meant for, and no other', async () => {
+test('a message reaches only the peer it is addressed to', async () => {
   const {clock, messages, start} = makeFleet();
   const a = start('a', []);
   start('b', [a.address]);
@@ -80,11 +84,11 @@
   assert.deepEqual(messages, [{to: 'b', from: 'a', message}]);
 });
 
-test('what is not from a peer changes nothing', async () => {
+test('invalid datagrams are ignored', async () => {
   const {clock, start, deliver} = makeFleet();
   const a = start('a', []);
   await clock.advance(300);
-  const odd = [
+  const invalid = [
     '',
     '{',
     'null',
@@ -94,14 +98,14 @@
     '{"kind":"view","from":"x","memberChanges":[]}',
     '{"kind":"toString","from":"x"}',
   ];
-  for (const text of odd) deliver('x:1', a, Buffer.from(text));
+  for (const text of invalid) deliver('x:1', a, Buffer.from(text));
   await clock.advance(300);
   assert.deepEqual(a.entries(), ['a:80']);
 });
 
-test('a host that stood still does not take all others for dead', async () => {
-  // Callers that ask an entry just after it wakes are told of no other: nobody
-  // was heard while it stood still, though all lived.
+test('a suspended host does not declare all others dead', async () => {
+  // Guards against a directory answer that names only the resumed host: it
+  // received nothing while it was suspended, though all others were alive.
   const {clock, start} = makeFleet();
   const a = start('a', []);
   const names = ['b', 'c', 'd'];
--- a/tests/relay/fleet/fleet_network.ts
+++ b/tests/relay/fleet/fleet_network.ts
@@ -1,6 +1,7 @@
 /**
- * Hosts that tell each other who lives, on one network in virtual time. Links
- * may be cut, hosts may freeze or be killed, and datagrams may be lost, by seed.
+ * A simulated network of hosts that exchange their state, in virtual time.
+ * Links may be cut, hosts may freeze or be killed, and datagrams may be lost,
+ * as drawn from a seed.
  */
 
 import {createSeededRandom} from '../../../src/core/seeded_random.js';
@@ -30,37 +31,39 @@
 import {silentLog} from '../../support/silent_log.js';
 import {revisionAt} from '../../support/store_revisions.js';
 
-/** One way, between hosts. */
+/** Latency of a link in one direction. */
 const LINK_MS = 2;
 const FETCH_MS = 30;
-const NOTHING = {weight: 0, sums: []};
-const NOTHING_LEARNED = {starts: NOTHING, runs: NOTHING, prefills: NOTHING};
+const NO_SUMS = {weight: 0, sums: []};
+const NO_LEARNED = {starts: NO_SUMS, runs: NO_SUMS, prefills: NO_SUMS};
 
 const NO_FINDINGS = {
   suspects: [],
   unreachable: [],
   changing: [],
   losses: [],
-  learned: NOTHING_LEARNED,
+  learned: NO_LEARNED,
 };
 
 export interface FleetHost {
   readonly name: string;
   readonly address: string;
   readonly exchange: PeerExchange;
-  /** Names of the entries that callers are told, sorted. */
+  /** Caller addresses in this host's directory answer, sorted. */
   entries(): readonly string[];
   lostCount(): number;
   announcedCount(): number;
-  /** Since the store last confirmed what this host knows. */
+  /** Age of the store's last confirmation of this host's data. */
   confirmedAgeMs(): number;
   setState(state: HostState): void;
-  /** The hosts that place for this one, which hear its changes at once. */
+  /** Sets the placers of this host, which receive its changes immediately. */
   setNear(hostIds: readonly string[]): void;
   freeze(durationMs: number): void;
 }
 
-/** Datagrams of one host, and their bytes in both directions. */
+/**
+ * Datagrams sent and received by a host, and their bytes in both directions.
+ */
 interface Traffic {
   readonly sent: number;
   readonly bytes: number;
@@ -71,8 +74,8 @@
 
 type Receive = (from: string, payload: Uint8Array) => void;
 
-/** A process that stands still runs its timers when it wakes. */
-function createStoppableClock(clock: VirtualClock) {
+/** A suspended process runs its due timers when it resumes. */
+function createFreezableClock(clock: VirtualClock) {
   let stoppedUntilMs = 0;
   const host: Clock = {
     nowMs: clock.nowMs,
@@ -107,7 +110,7 @@
   const lastPayloads = new Map<string, Uint8Array>();
   const dead = new Set<string>();
   let lossShare = 0;
-  /** Whether two addresses cannot reach each other. */
+  /** Whether a datagram between the two addresses is dropped. */
   let isCut: (from: string, to: string) => boolean = () => false;
 
   function count(address: string, more: Traffic): void {
@@ -142,7 +145,7 @@
 
   function start(name: string, seeds: readonly string[], life = 1): FleetHost {
     const address = `${name}:1`;
-    const ownClock = createStoppableClock(clock);
+    const ownClock = createFreezableClock(clock);
     const confirmation = createStoreConfirmation(clock);
     let state: HostState = 'ready';
     let near: ReadonlySet<string> = new Set();
@@ -169,7 +172,7 @@
       failureDomain: 'raadi-ruum',
       isStoreReachable: true,
     });
-    const hear = ({upstreamAges}: {readonly upstreamAges: ConfirmedAges}) =>
+    const confirm = ({upstreamAges}: {readonly upstreamAges: ConfirmedAges}) =>
       confirmation.notePeer(upstreamAges);
 
     const exchange = createPeerExchange(
@@ -197,8 +200,8 @@
           ...NO_FINDINGS,
           accountLevels: [],
         }),
-        onPeer: hear,
-        onSummary: (_, summary) => hear(summary),
+        onPeer: confirm,
+        onSummary: (_, summary) => confirm(summary),
         onPeerGone() {
           lostCount++;
         },
@@ -268,7 +271,7 @@
     clock,
     messages,
     start,
-    /** Starts many at about the same time; the first three are seeds. */
+    /** Starts hosts at about the same time; the first three are the seeds. */
     async startMany(count: number): Promise<readonly FleetHost[]> {
       const names = Array.from({length: count}, (_, i) => `h${i}`);
       const seeds = names.slice(0, 3).map(name => `${name}:1`);
@@ -289,7 +292,7 @@
     lose(share: number) {
       lossShare = share;
     },
-    /** Parts those for which the two answers differ. */
+    /** Cuts the links between addresses for which the predicate differs. */
     cutBetween(isThere: (address: string) => boolean) {
       isCut = (from, to) => isThere(from) !== isThere(to);
     },
--- a/tests/relay/fleet/many_hosts_test.ts
+++ b/tests/relay/fleet/many_hosts_test.ts
@@ -1,4 +1,6 @@
-/** Many hosts, of which three hear all and tell the others who lives. */
+/**
+ * Tests of a large deployment, in which three coordinators inform all others.
+ */
 
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
@@ -8,13 +10,13 @@
 } from '../../../src/relay/store/store_watch.js';
 import {makeFleet, type Fleet, type FleetHost} from './fleet_network.js';
 
-/** All have started and coordinators have heard everyone. */
+/** All hosts have started, and the coordinators have received all states. */
 const SETTLED_MS = 8_000;
 const MEASURED_MS = 4_000;
-/** Aim for control, of each host, in both directions. */
-const MOST_BYTES_PER_S = 4_000;
-/** A caller loses a second with each try of a dead entry. */
-const DEAD_BOUND_MS = 3_000;
+/** Target for the control traffic of each host, in both directions. */
+const MAX_BYTES_PER_S = 4_000;
+/** A caller loses a second with each attempt to connect to a dead host. */
+const DEATH_DETECTED_MS = 3_000;
 
 async function makeSettled(count: number, seed = 1) {
   const fleet = makeFleet(seed);
@@ -23,8 +25,8 @@
   return {fleet, hosts};
 }
 
-/** Every host's own list of the others, this one left out. */
-function knowsAll(hosts: readonly FleetHost[], count: number): void {
+/** Asserts that each host lists all others. */
+function assertAllListed(hosts: readonly FleetHost[], count: number): void {
   for (const {name, exchange} of hosts) {
     assert.equal(exchange.alive().length, count - 1, name);
   }
@@ -36,8 +38,8 @@
   return ids;
 }
 
-/** Hosts that a live host still takes for alive though they are not. */
-function namedDead(fleet: Fleet, dead: readonly string[]): readonly string[] {
+/** Dead hosts that a live host still lists. */
+function listedDead(fleet: Fleet, dead: readonly string[]): readonly string[] {
   return fleet.live().flatMap(({name, exchange}) =>
     exchange
       .alive()
@@ -46,34 +48,34 @@
   );
 }
 
-function ordinary(hosts: readonly FleetHost[]): readonly FleetHost[] {
+function followersOf(hosts: readonly FleetHost[]): readonly FleetHost[] {
   const ids = coordinatorsOf(hosts[0]);
   return hosts.filter(({name}) => !ids.includes(name));
 }
 
 for (const count of [17, 68, 195]) {
-  test(`${count} hosts that start at once all know each other`, async () => {
+  test(`${count} hosts that start together all find each other`, async () => {
     const {hosts} = await makeSettled(count);
-    knowsAll(hosts, count);
+    assertAllListed(hosts, count);
     const named = new Set(hosts.map(each => coordinatorsOf(each).join()));
-    assert.equal(named.size, 1, 'all name the same coordinators');
+    assert.equal(named.size, 1, 'all hosts choose the same coordinators');
   });
 }
 
-test('a dead host is no longer named after three seconds', async () => {
-  // Callers are told of an entry that is dark, and lose a second with it. Each
-  // host but the coordinators learns of the death from these alone.
+test('a dead host is no longer listed after three seconds', async () => {
+  // Guards against directory answers that name a dead host, at which a caller
+  // loses a second. Followers learn of the death from the coordinators alone.
   for (const count of [30, 195]) {
     const {fleet, hosts} = await makeSettled(count);
-    const [victim] = ordinary(hosts);
+    const [victim] = followersOf(hosts);
     fleet.kill([victim.name]);
-    await fleet.clock.advance(DEAD_BOUND_MS);
-    assert.deepEqual(namedDead(fleet, [victim.name]), []);
-    knowsAll(fleet.live(), count - 1);
+    await fleet.clock.advance(DEATH_DETECTED_MS);
+    assert.deepEqual(listedDead(fleet, [victim.name]), []);
+    assertAllListed(fleet.live(), count - 1);
   }
 });
 
-test('a host that dies with one of the coordinators is out as soon', async () => {
+test('a host that dies together with a coordinator is removed as quickly', async () => {
   const {fleet, hosts} = await makeSettled(68);
   for (const position of [0, 1, 2]) {
     const coordinator = coordinatorsOf(fleet.live()[0])[position];
@@ -81,17 +83,17 @@
     assert.ok(victim);
     const dead = [victim.name, coordinator];
     fleet.kill(dead);
-    await fleet.clock.advance(DEAD_BOUND_MS);
-    assert.deepEqual(namedDead(fleet, dead), []);
+    await fleet.clock.advance(DEATH_DETECTED_MS);
+    assert.deepEqual(listedDead(fleet, dead), []);
     await fleet.clock.advance(SETTLED_MS);
   }
-  knowsAll(fleet.live(), hosts.length - 6);
+  assertAllListed(fleet.live(), hosts.length - 6);
 });
 
-test('when all coordinators die at once, no host loses the others', async () => {
-  // A rack with the three hosts that tell all others who lives goes dark. The
-  // others are told nothing until they agree on new ones, and must neither
-  // forget who lives nor go on naming the dead for long.
+test('when all coordinators die at once, no host loses the live ones', async () => {
+  // Guards against a failed rack that contains all three coordinators. Until
+  // the others agree on new ones, no host receives views; it must neither
+  // forget the live hosts nor list the dead ones for long.
   const {fleet, hosts} = await makeSettled(68);
   const dead = coordinatorsOf(hosts[0]);
   const before = new Map(hosts.map(each => [each.name, each.lostCount()]));
@@ -102,30 +104,30 @@
       assert.ok(exchange.alive().length >= 64, `${name} after ${i}`);
     }
   }
-  assert.deepEqual(namedDead(fleet, dead), []);
-  knowsAll(fleet.live(), 65);
+  assert.deepEqual(listedDead(fleet, dead), []);
+  assertAllListed(fleet.live(), 65);
   for (const {name, lostCount} of fleet.live()) {
     assert.ok(lostCount() - (before.get(name) ?? 0) <= 3, name);
   }
 });
 
-test('when half of all hosts die at once, the others find each other', async () => {
+test('when half of the hosts die at once, the others form a new list', async () => {
   for (const seed of [1, 2, 3]) {
     const {fleet, hosts} = await makeSettled(68, seed);
-    // Among the dead are the coordinators and half of those that follow them.
+    // The coordinators and half of their followers die.
     const ids = coordinatorsOf(hosts[0]);
     const others = hosts.map(({name}) => name).filter(id => !ids.includes(id));
     const dead = [...ids, ...others.filter((_, i) => i % 2 === seed % 2)];
     fleet.kill(dead);
     await fleet.clock.advance(12_000);
-    assert.deepEqual(namedDead(fleet, dead), []);
-    knowsAll(fleet.live(), 68 - dead.length);
+    assert.deepEqual(listedDead(fleet, dead), []);
+    assertAllListed(fleet.live(), 68 - dead.length);
   }
 });
 
-test('hosts that were parted find each other again', async () => {
-  // A failure domain is cut off and both parts go on with coordinators of
-  // their own; the seeds in the settings all lie in one part.
+test('hosts find each other again after a partition', async () => {
+  // A failure domain is cut off, and both sides elect coordinators of their
+  // own. All seeds from the settings are on one side.
   const {fleet} = await makeSettled(68);
   const indexOf = (address: string) => Number(address.slice(1, -2));
   const isThere = (address: string) =>
@@ -140,12 +142,13 @@
   }
   fleet.heal();
   await fleet.clock.advance(6_000);
-  knowsAll(fleet.live(), 68);
+  assertAllListed(fleet.live(), 68);
 });
 
-test('a coordinator that stood still tells nobody that all others are dead', async () => {
-  // It wakes and has heard no one for seconds. All hosts go by its word: for a
-  // moment the answers would name no entry but itself.
+test('a suspended coordinator does not report all others as dead', async () => {
+  // Guards against a resumed coordinator that received nothing for seconds and
+  // reports all others as dead. Its followers would name no host but the
+  // coordinator for a moment.
   const {fleet, hosts} = await makeSettled(68);
   const [first] = coordinatorsOf(hosts[0]);
   const frozen = hosts.find(({name}) => name === first);
@@ -157,12 +160,12 @@
       assert.ok(exchange.alive().length >= 66, `${name} at ${i}`);
     }
   }
-  knowsAll(hosts, 68);
+  assertAllListed(hosts, 68);
 });
 
-test('a coordinator with a bad link does not take living hosts out', async () => {
-  // One packet in five is lost: a host is silent for one coordinator now and
-  // then, but hardly for two, and lives for all.
+test('a coordinator with a lossy link does not remove live hosts', async () => {
+  // One packet in five is lost. A host is often silent to one coordinator but
+  // rarely to two, so it must stay alive for all.
   const {fleet, hosts} = await makeSettled(68);
   const before = hosts.map(each => each.lostCount());
   fleet.lose(0.2);
@@ -175,9 +178,9 @@
   assert.equal(total, 0, lost.join());
 });
 
-test('a host that leaves or joins is told to all within a second', async () => {
+test('a leaving or joining host is known everywhere within a second', async () => {
   const {fleet, hosts} = await makeSettled(68);
-  const [leaving] = ordinary(hosts);
+  const [leaving] = followersOf(hosts);
   leaving.setState('leaving');
   await fleet.clock.advance(1_000);
   for (const each of fleet.live()) {
@@ -198,19 +201,18 @@
   }
 });
 
-test('a new host finds all by one live seed, whichever it is', async () => {
+test('a new host finds all others through any one live seed', async () => {
   const {fleet, hosts} = await makeSettled(68);
-  const [seed] = ordinary(hosts);
+  const [seed] = followersOf(hosts);
   fleet.start('late', ['gone:1', seed.address]);
   await fleet.clock.advance(2_500);
-  knowsAll(fleet.live(), 69);
+  assertAllListed(fleet.live(), 69);
 });
 
-test('all stay confirmed by three readers, however many they are', async () => {
-  // Every host reads the store by itself as soon as nobody has confirmed its
-  // list for a second. Word of the readers that came the less often, the more
-  // hosts there are, came too late from some eighty hosts on, and each host
-  // read for itself from then on.
+test('three readers keep any number of hosts confirmed', async () => {
+  // Guards against confirmations that become rarer with more hosts. A host
+  // reads the store itself when its list was not confirmed for a second; at
+  // about 80 hosts, confirmations came too late and every host kept reading.
   for (const count of [17, 68, 195]) {
     const {fleet, hosts} = await makeSettled(count);
     let most = 0;
@@ -225,13 +227,14 @@
   }
 });
 
-test('what a host sends and hears does not grow with the number of hosts', async () => {
-  // Hundreds of hosts spent most of their time on telling each other that
-  // nothing had changed, and their links carried little else.
+test('traffic per host does not grow with the number of hosts', async () => {
+  // Guards against control traffic that grows with the deployment. With
+  // hundreds of hosts, most of their time and bandwidth went into messages
+  // without changes.
   const costs: Array<{sent: number; bytes: number; heard: number}> = [];
   for (const count of [30, 195]) {
     const {fleet, hosts} = await makeSettled(count);
-    const measured = ordinary(hosts).slice(0, 20);
+    const measured = followersOf(hosts).slice(0, 20);
     const add = () =>
       measured
         .map(({name}) => fleet.trafficOf(name))
@@ -255,12 +258,12 @@
   assert.ok(many.sent <= 1.1 * few.sent, text);
   assert.ok(many.heard <= 1.1 * few.heard, text);
   assert.ok(many.bytes <= 1.1 * few.bytes, text);
-  assert.ok(many.bytes <= MOST_BYTES_PER_S, text);
+  assert.ok(many.bytes <= MAX_BYTES_PER_S, text);
 });
 
-test('a change reaches those that place at once, and hardly anyone else', async () => {
+test('a change reaches the placers immediately and few other hosts', async () => {
   const {fleet, hosts} = await makeSettled(68);
-  const [host, placer] = ordinary(hosts);
+  const [host, placer] = followersOf(hosts);
   host.setNear([placer.name]);
   await fleet.clock.advance(1_000);
   const before = fleet.trafficOf(host.name).sent;
@@ -273,9 +276,9 @@
   assert.equal(fleet.trafficOf(host.name).sent - before - near, 4);
 });
 
-test('a coordinator does not send to all others in one moment', async () => {
-  // Hosts that live are lost all the time: 194 datagrams at once overflow a
-  // small host's link, and the same hosts miss theirs each time.
+test('a coordinator does not send to all others at once', async () => {
+  // Guards against 194 datagrams at once, which overflow a small host's link.
+  // The same hosts miss theirs each time and are declared dead though alive.
   const {fleet, hosts} = await makeSettled(195);
   const [coordinator] = coordinatorsOf(hosts[0]);
   let most = 0;
@@ -288,9 +291,9 @@
   assert.ok(most <= 100, `${most} at once`);
 });
 
-test('an answer names other entries each time where there are many', async () => {
-  // Each host named the first 63 of its list beside itself: these got all
-  // callers, and the others next to none.
+test('directory answers vary in a large deployment', async () => {
+  // Guards against uneven load: each host named itself and the first 63 hosts
+  // of its list, so these received almost all callers.
   const {hosts} = await makeSettled(195);
   const named = new Map<string, number>();
   for (const host of hosts) {
@@ -300,7 +303,7 @@
     for (const entry of entries) named.set(entry, (named.get(entry) ?? 0) + 1);
   }
   assert.equal(named.size, 195);
-  // 64 on the mean, with a spread of 7.
+  // The mean is 64 with a standard deviation of 7.
   assert.ok(Math.max(...named.values()) < 100);
   assert.ok(Math.min(...named.values()) > 30);
 });
--- a/tests/relay/fleet/owners_test.ts
+++ b/tests/relay/fleet/owners_test.ts
@@ -11,7 +11,7 @@
   return Array.from({length: count}, (_, i) => `host-${i}`);
 }
 
-test('all hosts that know the same ones name the same owner', () => {
+test('all hosts with the same list of hosts choose the same owner', () => {
   const hosts = makeHosts(9);
   const other = [...hosts].reverse();
   for (const key of KEYS) {
@@ -19,8 +19,8 @@
   }
 });
 
-test('a host that dies changes the owner only of what it owned', () => {
-  // Guards against a death that hands all limits to owners that begin anew.
+test('the death of a host moves only the keys it owned', () => {
+  // Guards against a death that moves all limits to new owners without state.
   const hosts = makeHosts(9);
   const left = hosts.slice(1);
   for (const key of KEYS) {
@@ -30,7 +30,7 @@
   }
 });
 
-test('an order is worked out anew when the hosts change, and only then', () => {
+test('an order is recomputed only when the hosts change', () => {
   let hosts = makeHosts(300);
   const owners = createOwnerRanking('t', {candidates: () => hosts});
   const first = owners('i-1');
--- a/tests/relay/store/store_site.ts
+++ b/tests/relay/store/store_site.ts
@@ -17,7 +17,7 @@
 import {createRoutingState} from '../../../src/relay/routing_state.js';
 import {
   createStoreReaders,
-  type StoreKnowledge,
+  type StoreSyncState,
 } from '../../../src/relay/fleet/store_readers.js';
 import {createStoreWatch} from '../../../src/relay/store/store_watch.js';
 import type {Upstream} from '../../../src/core/upstream.js';
@@ -152,7 +152,7 @@
     eras.set(hostId, storeEra);
     const storeTime = createStoreTime(clock);
     const freshness = createConfigurationFreshness({clock, storeTime});
-    const heard = new Map<string, {hostId: string} & StoreKnowledge>();
+    const heard = new Map<string, {hostId: string} & StoreSyncState>();
     const readers = createStoreReaders({
       hostId,
       peers: () => (isMesh ? [...heard.values()] : known),
