--- a/src/relay/store/host_registration.ts
+++ b/src/relay/store/host_registration.ts
@@ -1,8 +1,9 @@
 /**
- * Keeps this host in the store's registry of hosts, and reads it.
+ * Registers this host in the store's registry of hosts, and reads the registry.
  *
- * The registry is for hosts whose settings name no live one, and for hosts that
- * a cut parted. Of many only those are in it that all others know of.
+ * The registry helps hosts whose settings name no live host, and hosts
+ * separated by a network partition. In a large deployment, only the
+ * coordinators register.
  */
 
 import type {Clock, TimerHandle} from '../../ports/clock.js';
@@ -15,30 +16,34 @@
   readonly random: Random;
   readonly metrics: RelayMetrics;
   readonly hostRegistry: HostRegistry;
-  /** Whether others have to find this host by the registry. */
+  /** Whether other hosts need to find this host in the registry. */
   isSought(): boolean;
-  /** Whether this host knows no other. */
+  /** Whether this host knows no other host. */
   isAlone(): boolean;
   onHosts(records: readonly HostRecord[]): void;
-  /** The registry was read, or could not be. */
+  /** The registry was read, or the read failed. */
   onRead(read: StoreRead<unknown>): void;
 }
 
 export interface HostRegistration {
   start(): void;
-  /** What this host wrote to the store may be lost, or be back. */
-  noteEra(): void;
-  /** Takes this host out, now and whenever the store has it again. */
-  leave(): void;
+  /**
+   * The store's era changed: this host's row may be lost, or may have returned.
+   */
+  onNewEra(): void;
+  /**
+   * Removes this host's row, now and whenever a restored store has it again.
+   */
+  unregister(): void;
   stop(): void;
 }
 
 const REGISTER_TIMEOUT_MS = 800;
 const READ_TIMEOUT_MS = 600;
-/** By then a host that has a right address in its settings knows others. */
-const REGISTER_AFTER_MS = 1_000;
-const HOSTS_EVERY_MS = 10_000;
-const HOSTS_RETRY_MS = 1_000;
+/** A host with a correct seed address has found other hosts by then. */
+const REGISTRATION_DELAY_MS = 1_000;
+const REFRESH_INTERVAL_MS = 10_000;
+const REFRESH_RETRY_MS = 1_000;
 
 export function createHostRegistration(
   host: HostRegistrationHost,
@@ -47,27 +52,27 @@
   const {clock, random, metrics, hostRegistry} = host;
   let isStopped = false;
   let isLeaving = false;
-  /** As of the last read of the registry, or the last write. */
+  /** As of the last read or write of the registry. */
   let isRegistered = false;
-  /** Ever, so that a row of this host may be there. */
+  /** Whether a row of this host may exist because a write has succeeded. */
   let hasRegistered = false;
-  /** Set while the next look waits; a running one has none. */
+  /** Set while the next refresh is scheduled; undefined during a refresh. */
   let timer: TimerHandle | undefined;
 
   const isSelf = ({hostId, peerAddress}: HostRecord) =>
     hostId === self.hostId && peerAddress === self.peerAddress;
 
-  function lookAfter(delayMs: number): void {
+  function refreshAfter(delayMs: number): void {
     if (isStopped) return;
     timer = clock.setTimer(delayMs, () => {
       timer = undefined;
-      void look();
+      void refresh();
     });
   }
 
-  async function look(): Promise<void> {
+  async function refresh(): Promise<void> {
     const isSought = host.isSought();
-    if (!isSought && !host.isAlone()) return lookAfter(HOSTS_EVERY_MS);
+    if (!isSought && !host.isAlone()) return refreshAfter(REFRESH_INTERVAL_MS);
     if (isSought && !isRegistered && !isLeaving) await register();
     const read = await hostRegistry.readAll(READ_TIMEOUT_MS);
     host.onRead(read);
@@ -75,9 +80,9 @@
       host.onHosts(read.value);
       isRegistered = read.value.some(isSelf);
     }
-    const isDone = (isRegistered || !isSought) && read.kind === 'read';
-    const isFound = isDone && !host.isAlone();
-    lookAfter(isFound ? HOSTS_EVERY_MS : HOSTS_RETRY_MS);
+    const isUpToDate = (isRegistered || !isSought) && read.kind === 'read';
+    const isSettled = isUpToDate && !host.isAlone();
+    refreshAfter(isSettled ? REFRESH_INTERVAL_MS : REFRESH_RETRY_MS);
   }
 
   async function register(): Promise<void> {
@@ -86,22 +91,22 @@
     metrics.count('store_calls', `call="register",outcome="${isRegistered}"`);
   }
 
-  function takeOut(): void {
+  function removeSelf(): void {
     if (!hasRegistered) return;
     void hostRegistry.remove(self.hostId, REGISTER_TIMEOUT_MS);
   }
 
   return {
-    start: () => lookAfter(REGISTER_AFTER_MS),
-    noteEra() {
-      if (isLeaving) return takeOut();
+    start: () => refreshAfter(REGISTRATION_DELAY_MS),
+    onNewEra() {
+      if (isLeaving) return removeSelf();
       if (!timer || !isRegistered) return;
       clock.clearTimer(timer);
-      lookAfter(HOSTS_RETRY_MS * random.nextFloat());
+      refreshAfter(REFRESH_RETRY_MS * random.nextFloat());
     },
-    leave() {
+    unregister() {
       isLeaving = true;
-      takeOut();
+      removeSelf();
     },
     stop() {
       isStopped = true;
--- a/src/relay/store/list_deltas.ts
+++ b/src/relay/store/list_deltas.ts
@@ -1,11 +1,11 @@
 /**
- * What changed from one list of upstreams to the next, so that one host that
- * read the list can tell the others.
+ * The changes between two successive lists of upstreams, which a host that read
+ * the list sends to the others.
  *
- * Guards the store against a call by each host for each change: most hosts do
- * not read the list themselves, and would whenever they hear that theirs is
- * behind. A host that does not come to the same list by the change, since it
- * missed another, reads the store.
+ * This saves the store a call per host for each change: most hosts do not read
+ * the list themselves, but would whenever they learn that theirs is outdated. A
+ * host that missed an earlier change, so that a delta does not lead it to the
+ * same list, reads the store.
  */
 
 import {hashText} from '../../core/hash_text.js';
@@ -16,54 +16,54 @@
 export interface ListDelta {
   readonly fromDigest: number;
   readonly toDigest: number;
-  /** Of the list that has the change. */
+  /** The revision of the list after the change. */
   readonly revision: StoreRevision;
-  /** Upstreams that are new or listed otherwise than before. */
+  /** Upstreams that were added or whose entry changed. */
   readonly changed: readonly Upstream[];
-  /** Ids of those that are no longer there. */
+  /** Ids of the removed upstreams. */
   readonly left: readonly string[];
 }
 
-/** The list by upstream id. */
+/** The list of upstreams, by id. */
 export type UpstreamEntries = ReadonlyMap<string, Upstream>;
 
-/** A list with its digest. */
+/** A list and its digest. */
 export interface DigestedList {
   readonly entries: UpstreamEntries;
   readonly digest: number;
 }
 
 export interface DeltaLog {
-  /** The list has changed, or was read again as it was. */
-  note(
+  /** Records the change, if any, between two successive lists. */
+  record(
     before: DigestedList,
     after: DigestedList,
     revision: StoreRevision,
   ): void;
-  /** The changes of the last moments, oldest first. */
+  /** The most recent changes, oldest first. */
   recent(): readonly ListDelta[];
 }
 
-/** Long enough for each peer to hear of it twice, also where there are many. */
-const TOLD_FOR_MS = 1_800;
+/** Long enough for each peer to receive a delta twice, also with many hosts. */
+const RETENTION_MS = 1_800;
 /**
- * Larger changes come with an outage of the store or a mass restart; a change
- * in a datagram takes some 200 bytes for each upstream.
+ * Larger changes occur only with an outage of the store or a mass restart; a
+ * delta takes about 200 bytes per upstream in a datagram.
  */
-const MOST_UPSTREAMS_TOLD = 12;
+const MAX_DELTA_UPSTREAMS = 12;
 
-/** All of an upstream that a list must have right; not its signs of life. */
-function describe({id, address, isDraining, role}: Upstream): string {
+/** The fields that must be equal on all hosts; heartbeats are not included. */
+function fingerprintOf({id, address, isDraining, role}: Upstream): string {
   return [id, address, isDraining, role].join('|');
 }
 
-/** The same for lists that differ in nothing but signs of life. */
+/** Equal for lists that differ only in heartbeats. */
 export function digestList(entries: UpstreamEntries): number {
-  const texts = [...entries.values()].map(describe);
+  const texts = [...entries.values()].map(fingerprintOf);
   return hashText(texts.sort().join(' '));
 }
 
-/** The list after the change. */
+/** Returns the list after the change. */
 export function applyDelta(
   entries: UpstreamEntries,
   delta: ListDelta,
@@ -75,19 +75,21 @@
 }
 
 export function createDeltaLog(clock: Clock): DeltaLog {
-  let told: ReadonlyArray<{readonly delta: ListDelta; readonly atMs: number}> =
-    [];
+  let entries: ReadonlyArray<{
+    readonly delta: ListDelta;
+    readonly atMs: number;
+  }> = [];
   return {
-    note(before, after, revision) {
+    record(before, after, revision) {
       if (before.digest === after.digest || before.entries.size === 0) return;
       const changed = [...after.entries.values()].filter(each => {
-        const known = before.entries.get(each.id);
-        return !known || describe(known) !== describe(each);
+        const previous = before.entries.get(each.id);
+        return !previous || fingerprintOf(previous) !== fingerprintOf(each);
       });
       const left = [...before.entries.keys()].filter(
         id => !after.entries.has(id),
       );
-      if (changed.length + left.length > MOST_UPSTREAMS_TOLD) return;
+      if (changed.length + left.length > MAX_DELTA_UPSTREAMS) return;
       const delta = {
         fromDigest: before.digest,
         toDigest: after.digest,
@@ -95,12 +97,12 @@
         changed,
         left,
       };
-      told = [...told, {delta, atMs: clock.nowMs()}];
+      entries = [...entries, {delta, atMs: clock.nowMs()}];
     },
     recent() {
       const nowMs = clock.nowMs();
-      told = told.filter(({atMs}) => nowMs - atMs < TOLD_FOR_MS);
-      return told.map(({delta}) => delta);
+      entries = entries.filter(({atMs}) => nowMs - atMs < RETENTION_MS);
+      return entries.map(({delta}) => delta);
     },
   };
 }
--- a/src/relay/store/list_outage.ts
+++ b/src/relay/store/list_outage.ts
@@ -1,36 +1,36 @@
 /**
- * Tells when entries of the list of upstreams may be missing though their
- * upstreams live: for some time after an outage in which heartbeats could not
- * reach the store, or after the store came back from a copy without them.
+ * Decides when entries may be missing from the list of upstreams although their
+ * upstreams are alive: for some time after an outage in which heartbeats could
+ * not reach the store, or after the store was restored from a copy without
+ * them.
  *
- * What counts is whether the store served any host, not whether it served this
- * one. The first read of a host that the store turned away may come long after
- * the end of the outage, and upstreams that left meanwhile are not to be kept
- * from then on.
+ * An outage counts only if the store served no host at all. A host that alone
+ * could not reach the store may make its first successful read long after the
+ * outage ended, and must not keep upstreams that left meanwhile.
  */
 
-import {WRITTEN_AGAIN_MS} from './store_era.js';
+import {REWRITE_MS} from './store_era.js';
 
 /**
  * Entries lapse after three heartbeats of 1.2 s, one and a half of which may
- * lie before the outage. One read that timed out is no outage: reads follow
- * each other within 1.6 s then.
+ * precede the outage. A single read that timed out is not an outage, as reads
+ * are at most 1.6 s apart then.
  */
-const SHORTEST_OUTAGE_MS = 1_800;
+const MIN_OUTAGE_MS = 1_800;
 
-/** Times are of this host's steady clock. */
+/** All times are of this host's steady clock. */
 export interface ListOutage {
-  /** A read of this host failed. */
-  readFailed(atMs: number): void;
-  /** The store answered a read of the list, of this host or of a peer. */
-  served(atMs: number): void;
-  /** The store came back from an older copy. */
-  cameBack(atMs: number): void;
-  /** Whether missing entries may still come back. */
-  isKeeping(atMs: number): boolean;
-  /** Until when missing entries are kept. */
+  /** A read by this host failed. */
+  noteReadFailed(atMs: number): void;
+  /** The store answered a read of the list, by this host or by a peer. */
+  noteServed(atMs: number): void;
+  /** The store was restored from an older copy. */
+  noteRestored(atMs: number): void;
+  /** Whether missing entries are still to be kept. */
+  isKeepingMissing(atMs: number): boolean;
+  /** The time until which missing entries are kept. */
   keepUntilMs(): number;
-  /** When a read of this host failed last. */
+  /** The time of the last failed read by this host. */
   lastFailureAtMs(): number;
 }
 
@@ -40,21 +40,22 @@
   let keepUntilMs = Number.NEGATIVE_INFINITY;
 
   return {
-    readFailed(atMs) {
+    noteReadFailed(atMs) {
       failedAtMs = atMs;
     },
-    served(atMs) {
+    noteServed(atMs) {
       if (atMs <= servedAtMs) return;
-      // Without a failure nobody asked: this host was suspended, or alone.
+      // Without a failure there was no outage: this host was suspended or read
+      // nothing.
       const hasFailed = Number.isFinite(failedAtMs) && failedAtMs >= servedAtMs;
-      const wasAway = hasFailed && atMs - servedAtMs >= SHORTEST_OUTAGE_MS;
-      if (wasAway) keepUntilMs = atMs + WRITTEN_AGAIN_MS;
+      const wasOutage = hasFailed && atMs - servedAtMs >= MIN_OUTAGE_MS;
+      if (wasOutage) keepUntilMs = atMs + REWRITE_MS;
       servedAtMs = atMs;
     },
-    cameBack(atMs) {
-      keepUntilMs = atMs + WRITTEN_AGAIN_MS;
+    noteRestored(atMs) {
+      keepUntilMs = atMs + REWRITE_MS;
     },
-    isKeeping: atMs => atMs < keepUntilMs,
+    isKeepingMissing: atMs => atMs < keepUntilMs,
     keepUntilMs: () => keepUntilMs,
     lastFailureAtMs: () => failedAtMs,
   };
--- a/src/relay/store/store_confirmation.ts
+++ b/src/relay/store/store_confirmation.ts
@@ -1,45 +1,46 @@
 /**
- * When the store last confirmed what a host knows, and by how many hosts the
- * word has come.
+ * Tracks when the store last confirmed that this host's data is current, and
+ * whether the confirmation came directly, from the host that read it, or
+ * through another host.
  *
- * An age loses the time that its datagram takes on the way. Hosts that told on
- * whatever they hear would keep each other's age young though nobody reads the
- * store. So an age is told on once at most, and is too young by two hops at
- * most.
+ * An age loses the time its datagram is in transit. If hosts passed on every
+ * age they receive, they could keep each other's ages low although nobody reads
+ * the store. An age is therefore passed on once at most, and is too low by two
+ * transits at most.
  */
 
 import type {Clock} from '../../ports/clock.js';
 
-/** What a host announces of one thing that it knows from the store. */
+/** The ages that a host announces for one kind of store data. */
 export interface ConfirmedAges {
-  /** Since the store confirmed it to the host itself. */
+  /** Time since the store confirmed the data to the host itself. */
   readonly readAgeMs: number;
-  /** The same, or since it confirmed it to one that told the host. */
+  /** The same, or the `readAgeMs` received from a peer if that is lower. */
   readonly ageMs: number;
 }
 
 export interface StoreConfirmation {
-  /** The store confirmed it to this host. */
+  /** The store confirmed the data to this host. */
   noteRead(atMs: number): void;
-  /** A peer that knows the same announced these ages. */
+  /** A peer with the same data announced these ages. */
   notePeer(ages: ConfirmedAges): void;
-  /** A peer handed it over, as old as this; it is not told on. */
-  noteHanded(ageMs: number): void;
-  /** What this host goes by. */
+  /** Data of this age was fetched from a peer; the age is not passed on. */
+  noteFetched(ageMs: number): void;
+  /** The lowest known age, which this host's decisions are based on. */
   ageMs(): number;
-  /** What this host tells its peers. */
-  announced(): ConfirmedAges;
+  /** The ages to announce to peers. */
+  announcedAges(): ConfirmedAges;
 }
 
-/** Stands for "never" in announcements, which carry finite numbers only. */
+/** Means "never" in announcements, which can only carry finite numbers. */
 const MAX_AGE_MS = 3_600_000;
 
 export function createStoreConfirmation(clock: Clock): StoreConfirmation {
   let readAtMs = Number.NEGATIVE_INFINITY;
-  /** By peers that read it themselves. */
-  let toldAtMs = Number.NEGATIVE_INFINITY;
-  /** By peers that were told. */
-  let heardAtMs = Number.NEGATIVE_INFINITY;
+  /** Confirmed by a read of the peer that announced it. */
+  let readByPeerAtMs = Number.NEGATIVE_INFINITY;
+  /** Confirmed through a peer that did not read the data itself. */
+  let relayedAtMs = Number.NEGATIVE_INFINITY;
 
   const ageOf = (atMs: number) =>
     Math.round(Math.min(clock.nowMs() - atMs, MAX_AGE_MS));
@@ -50,16 +51,16 @@
     },
     notePeer({readAgeMs, ageMs}) {
       const nowMs = clock.nowMs();
-      toldAtMs = Math.max(toldAtMs, nowMs - readAgeMs);
-      heardAtMs = Math.max(heardAtMs, nowMs - ageMs);
+      readByPeerAtMs = Math.max(readByPeerAtMs, nowMs - readAgeMs);
+      relayedAtMs = Math.max(relayedAtMs, nowMs - ageMs);
     },
-    noteHanded(ageMs) {
-      heardAtMs = Math.max(heardAtMs, clock.nowMs() - ageMs);
+    noteFetched(ageMs) {
+      relayedAtMs = Math.max(relayedAtMs, clock.nowMs() - ageMs);
     },
-    ageMs: () => ageOf(Math.max(readAtMs, toldAtMs, heardAtMs)),
-    announced: () => ({
+    ageMs: () => ageOf(Math.max(readAtMs, readByPeerAtMs, relayedAtMs)),
+    announcedAges: () => ({
       readAgeMs: ageOf(readAtMs),
-      ageMs: ageOf(Math.max(readAtMs, toldAtMs)),
+      ageMs: ageOf(Math.max(readAtMs, readByPeerAtMs)),
     }),
   };
 }
--- a/src/relay/store/store_era.ts
+++ b/src/relay/store/store_era.ts
@@ -1,9 +1,9 @@
 /**
- * Which era of the store this host has seen last.
+ * Tracks the current era of the store.
  *
- * A store that comes back from an older copy has lost its latest writes, and
- * gives the same numbers out again. Each time begins an era; numbers of two
- * eras say nothing of each other.
+ * A store that is restored from an older copy has lost its latest writes and
+ * assigns the same revision numbers again. Each restore begins a new era;
+ * revision numbers of different eras cannot be compared.
  */
 
 import type {Clock} from '../../ports/clock.js';
@@ -15,24 +15,25 @@
 }
 
 export interface StoreEra {
-  /** An answer of the store, or a peer that had one, told this era. */
+  /** The era was reported by the store, or by a peer that received it. */
   note(era: number): void;
-  /** 0 while the store has told none. */
+  /** 0 until the store has reported an era. */
   current(): number;
   /**
-   * Whether those whose writes were lost have had time to write again. A host
-   * that has just started cannot tell for how long the era lasts.
+   * Whether lost writes have had time to be repeated. A host that has just
+   * started does not know when the era began, and counts from when it learned
+   * of it.
    */
   isSettled(): boolean;
-  /** Calls `listener` after each change. */
+  /** Calls the listener after each change of era. */
   onChange(listener: (era: number) => void): void;
 }
 
 /**
- * The operator and the upstreams write again what was lost within about two
- * seconds of the store's return; the rest is the age that a read may have.
+ * The operator and the upstreams repeat lost writes within about two seconds
+ * after the store is back; the rest is the maximum age of a read.
  */
-export const WRITTEN_AGAIN_MS = 2_300;
+export const REWRITE_MS = 2_300;
 
 export function createStoreEra(host: StoreEraHost): StoreEra {
   const {clock, log} = host;
@@ -51,8 +52,7 @@
       for (const listener of listeners) listener(era);
     },
     current: () => current,
-    isSettled: () =>
-      current === 0 || clock.nowMs() - sinceMs >= WRITTEN_AGAIN_MS,
+    isSettled: () => current === 0 || clock.nowMs() - sinceMs >= REWRITE_MS,
     onChange(listener) {
       listeners.push(listener);
     },
--- a/src/relay/store/store_watch.ts
+++ b/src/relay/store/store_watch.ts
@@ -1,11 +1,12 @@
 /**
- * Follows what the operator and the upstreams write to the platform's store,
- * and keeps this host in the registry of hosts. A host that is no reader goes
- * by what its peers confirm and reads when that is not enough.
+ * Reads the configuration and the list of upstreams from the platform's store,
+ * and keeps this host in the registry of hosts. A host that is not a reader
+ * relies on its peers' confirmations, and reads when one is overdue or its data
+ * is outdated.
  *
- * Guards: each call has its own short limit, so that a connection that went
- * silent costs one call and not a bound of the system; a failed call is made
- * again soon, on another connection.
+ * Each call has its own short timeout, so a connection that goes silent costs
+ * one call and breaks no time limit of the system. A failed call is soon
+ * retried on another connection.
  */
 
 import {
@@ -48,70 +49,75 @@
   readonly storeEra: StoreEra;
   readonly storeTime: StoreTime;
   readonly freshness: ConfigurationFreshness;
-  /** Whether this host reads for all. */
+  /** Whether this host reads on behalf of all. */
   isReader(): boolean;
-  /** Whether this host would read for all if others could not. */
+  /** Whether this host may become a reader if others cannot read. */
   isCandidate(): boolean;
   /** Whether this host chooses engines, for itself or for others. */
   isPlacing(): boolean;
-  /** Whether others have to find this host by the registry of hosts. */
+  /** Whether other hosts need to find this host in the registry. */
   isSought(): boolean;
-  /** Whether this host knows no other. */
+  /** Whether this host knows no other host. */
   isAlone(): boolean;
   onHosts(records: readonly HostRecord[]): void;
 }
 
 export interface StoreWatch {
   start(): void;
-  /** Takes this host out of the registry; it goes on reading. */
+  /** Removes this host from the registry; reading continues. */
   unregister(): void;
   stop(): void;
-  /** What is known, and since when the store has confirmed it. */
+  /** The state of this host's data from the store, for announcements. */
   knowledge(): StoreSyncState;
-  /** Since the store confirmed the list, as far as this host can tell. */
+  /** Time since the store confirmed the list, as known to this host. */
   listAgeMs(): number;
   /** Whether the last call to the store was answered. */
   isStoreReachable(): boolean;
-  /** A peer confirms what is known here, or has something newer. */
+  /**
+   * Processes a peer's announced state, which may confirm or outdate the data.
+   */
   hear(peer: StoreSyncState): void;
-  /** A peer handed its list over, as old as this. */
+  /** A list of the given age was applied from a peer. */
   noteHandedList(ageMs: number): void;
 }
 
 /**
- * A change is in force within 2 s of its acknowledgement; a call that waits
- * on a connection gone silent must end well before that.
+ * A change must be in force within 2 s after it is acknowledged, so a call on a
+ * connection gone silent must time out well before that.
  */
 const FEED_WAIT_MS = 1_000;
 const FEED_TIMEOUT_MS = 1_500;
-/** The list is read so often that two failed reads still leave the bound. */
-export const UPSTREAMS_EVERY_MS = 700;
+/** At this interval, two failed reads in a row still meet the time limit. */
+export const LIST_READ_INTERVAL_MS = 700;
 const READ_TIMEOUT_MS = 600;
 /**
- * What nobody has confirmed for this long is read anew. A read that times out
- * still ends within the 2 s in which a change is to be in force; by then a
- * peer has been asked to hand its own over.
+ * Data without a confirmation for this long is read again. Even if that read
+ * times out, it ends within the 2 s in which a change must be in force, and by
+ * then the data has been requested from a peer.
  */
-export const LIST_CONFIRMED_MS = 1_000;
-export const ROUTING_CONFIRMED_MS = 1_300;
-/** Changes that follow each other closely are read once in this time. */
-const READ_SPACING_MS = 100;
+export const MAX_UNCONFIRMED_LIST_MS = 1_000;
+export const MAX_UNCONFIRMED_ROUTING_MS = 1_300;
+/** Minimum time between reads caused by successive changes. */
+const MIN_READ_INTERVAL_MS = 100;
 /**
- * A list that is behind is read if no peer has told the change by then: its
- * word is lost now and then, and three readers tell it twice.
+ * An outdated list is read only after this time, to let a delta arrive from a
+ * peer first. Datagrams may be lost, but each of the three readers sends the
+ * delta twice.
  */
-const TOLD_WITHIN_MS = 400;
+const DELTA_WAIT_MS = 400;
 /**
- * A host whose last call to the store failed looks again this often, though
- * its peers tell it all: it may read for others, and plan, only once it knows
- * that the store serves it.
+ * A reader candidate whose last call failed checks the store this often, even
+ * if its peers confirm all its data: it may read for others again only once it
+ * knows that the store answers.
  */
-const LOST_STORE_LOOK_MS = 2_000;
-/** Ages in announcements are rounded, and datagrams take some ms. */
-const SHORTEST_LOOK_MS = 20;
+const LOST_STORE_CHECK_MS = 2_000;
 /**
- * Hosts that go by what others read need one answer in each era for the time of
- * the store; all at once would be hundreds of calls.
+ * Ages in announcements are rounded, and datagrams are in transit for some ms.
+ */
+const MIN_CHECK_DELAY_MS = 20;
+/**
+ * A host that is not a reader needs one answer per era to learn the store's
+ * time. Spreading these avoids hundreds of simultaneous calls.
  */
 const TIME_READ_SPREAD_MS = 1_500;
 const RETRY_MS = 200;
@@ -126,32 +132,34 @@
   const timers = new Set<TimerHandle>();
   let isStopped = false;
   let cursor: StoreRevision | undefined;
-  /** The newest version of which own reads have told, if it can be read. */
+  /** The newest version this host has read; undefined if it was unreadable. */
   let readVersion: number | undefined;
   const listConfirmation = createStoreConfirmation(clock);
   const routingConfirmation = createStoreConfirmation(clock);
-  /** The newest that a peer had and this host had not. */
-  let otherListRevision = NO_REVISION;
-  let otherRoutingVersion = 0;
+  /** The newest revision and version that peers announced. */
+  let peerListRevision = NO_REVISION;
+  let peerRoutingVersion = 0;
   let listBehindSinceMs = 0;
   let listReadAtMs = Number.NEGATIVE_INFINITY;
   let routingReadAtMs = Number.NEGATIVE_INFINITY;
   let isStoreLost = false;
   let isReader = true;
-  /** When the time of the store is to be known again, where an era began. */
-  let timeDueAtMs = Number.NEGATIVE_INFINITY;
-  /** Reads that failed one after the other. */
+  /** The time by which to read the store's time after the era changed. */
+  let storeTimeDueAtMs = Number.NEGATIVE_INFINITY;
+  /** Consecutive failed reads. */
   let routingFailures = 0;
   let listFailures = 0;
-  /** Set while the next look waits; a running read has none. */
+  /**
+   * Set while the next check is scheduled; undefined during a read or a retry.
+   */
   let routingTimer: TimerHandle | undefined;
   let listTimer: TimerHandle | undefined;
   const registration = createHostRegistration(
-    {...host, onRead: read => note('hosts', read)},
+    {...host, onRead: read => recordCall('hosts', read)},
     self,
   );
 
-  function later(delayMs: number, action: () => Promise<void>): TimerHandle {
+  function schedule(delayMs: number, action: () => Promise<void>): TimerHandle {
     const timer = clock.setTimer(Math.max(0, delayMs), () => {
       timers.delete(timer);
       if (!isStopped) void action();
@@ -161,18 +169,19 @@
   }
 
   /**
-   * Guards the store and its price against an outage in which hundreds of
-   * hosts call four times a second. Those that never read for others hear
-   * that it is over; a second try soon covers a connection gone silent.
+   * Limits the load on the store, and its cost, during an outage in which
+   * hundreds of hosts would each call four times a second. Hosts that are not
+   * reader candidates learn from peers that it has ended. The first retry still
+   * comes soon, in case only a connection went silent.
    */
   function retryMs(failures: number): number {
     const firstMs = RETRY_MS + RETRY_SPREAD_MS * random.nextFloat();
     if (host.isCandidate()) return firstMs;
-    return Math.min(firstMs * 2 ** (failures - 1), LOST_STORE_LOOK_MS);
+    return Math.min(firstMs * 2 ** (failures - 1), LOST_STORE_CHECK_MS);
   }
 
-  function note(call: string, read: StoreRead<unknown>): void {
-    // The calls that end with the process are no loss of the store.
+  function recordCall(call: string, read: StoreRead<unknown>): void {
+    // Calls that end because this process stops do not count as failures.
     if (isStopped) return;
     metrics.count('store_calls', `call="${call}",outcome="${read.kind}"`);
     const isLost = read.kind === 'failed';
@@ -182,7 +191,7 @@
     else log.info('The store is back.', {call});
   }
 
-  function takeRouting(update: RoutingUpdate): void {
+  function applyRouting(update: RoutingUpdate): void {
     cursor = update.cursor;
     routingConfirmation.noteRead(clock.nowMs());
     if (update.routing) routing.offer(update.routing, 'store');
@@ -191,73 +200,80 @@
       : (update.routing?.version ?? readVersion);
     const isNewest =
       readVersion !== undefined && readVersion <= routing.version();
-    // A version that the store lost may be missing until it is written again.
+    // After a restore, a lost version may be missing until it is written again.
     if (isNewest && storeEra.isSettled()) {
       freshness.noteCompleteUntil(update.storeNow);
     }
   }
 
   /*
-   * Whether this host is behind follows from what it has, however it came by
-   * it. As marks that only an own read took off, they made a host that had
-   * been handed the newer one ask the store for it four times a second.
+   * Whether this host is outdated is computed from its current data, whatever
+   * the data's source. As flags cleared only by this host's own reads, these
+   * made a host that had fetched the newer data from a peer call the store four
+   * times a second.
    */
   const isListBehind = () =>
-    isNewerRevision(otherListRevision, registry.revision());
-  const isRoutingBehind = () => otherRoutingVersion > routing.version();
+    isNewerRevision(peerListRevision, registry.revision());
+  const isRoutingBehind = () => peerRoutingVersion > routing.version();
 
-  function noteReader(isNow: boolean): void {
-    if (isNow === isReader) return;
-    isReader = isNow;
+  function updateReaderRole(isReaderNow: boolean): void {
+    if (isReaderNow === isReader) return;
+    isReader = isReaderNow;
     const ageMs = listConfirmation.ageMs();
     if (isReader) log.info('Reading the store for all.', {ageMs});
-    else log.info('Going by what others read.', {ageMs});
+    else log.info('No longer reading the store for all.', {ageMs});
   }
 
-  /** Whether the time of the store in the present era is wanted for keys. */
-  const isTimeMissing = () =>
+  /**
+   * Whether keys are configured and the store's time in this era is unknown.
+   */
+  const isStoreTimeMissing = () =>
     !routing.accounts().isEmpty &&
     storeTime.latest()?.era !== storeEra.current();
 
-  /** How long the configuration may go unread; 0 to read now. */
-  function routingRestMs(): number {
+  /** Time until the configuration has to be read; 0 or less means now. */
+  function routingDelayMs(): number {
     if (host.isReader()) return 0;
     if (isRoutingBehind()) {
-      return READ_SPACING_MS - (clock.nowMs() - routingReadAtMs);
+      return MIN_READ_INTERVAL_MS - (clock.nowMs() - routingReadAtMs);
     }
-    const restMs = ROUTING_CONFIRMED_MS - routingConfirmation.ageMs();
-    const timeRestMs = timeDueAtMs - clock.nowMs();
-    return isTimeMissing() ? Math.min(restMs, timeRestMs) : restMs;
+    const restMs = MAX_UNCONFIRMED_ROUTING_MS - routingConfirmation.ageMs();
+    const timeRestMs = storeTimeDueAtMs - clock.nowMs();
+    return isStoreTimeMissing() ? Math.min(restMs, timeRestMs) : restMs;
   }
 
-  function listRestMs(): number {
+  function listDelayMs(): number {
     const sinceReadMs = clock.nowMs() - listReadAtMs;
-    noteReader(host.isReader());
-    const confirmedRestMs = LIST_CONFIRMED_MS - listConfirmation.ageMs();
+    updateReaderRole(host.isReader());
+    const confirmationRestMs =
+      MAX_UNCONFIRMED_LIST_MS - listConfirmation.ageMs();
     if (isListBehind()) {
       const behindMs = clock.nowMs() - listBehindSinceMs;
-      const toldRestMs = TOLD_WITHIN_MS - behindMs;
-      const restMs = Math.min(toldRestMs, confirmedRestMs);
-      return Math.max(restMs, READ_SPACING_MS - sinceReadMs);
+      const deltaRestMs = DELTA_WAIT_MS - behindMs;
+      const restMs = Math.min(deltaRestMs, confirmationRestMs);
+      return Math.max(restMs, MIN_READ_INTERVAL_MS - sinceReadMs);
     }
-    // Only the list itself shows that an unreachable upstream lives again.
+    // Only the list shows the heartbeat of an unreachable upstream.
     const isNeeded =
       isReader || (host.isPlacing() && registry.hasUnreachable());
-    if (isNeeded) return UPSTREAMS_EVERY_MS - sinceReadMs;
-    if (!isStoreLost || !host.isCandidate()) return confirmedRestMs;
-    return Math.min(confirmedRestMs, LOST_STORE_LOOK_MS - sinceReadMs);
+    if (isNeeded) return LIST_READ_INTERVAL_MS - sinceReadMs;
+    if (!isStoreLost || !host.isCandidate()) return confirmationRestMs;
+    return Math.min(confirmationRestMs, LOST_STORE_CHECK_MS - sinceReadMs);
   }
 
-  /** A store that goes back to an earlier era must not be read without rest. */
-  const isOutdated = ({cursor: {era}}: RoutingUpdate) =>
+  /** Avoids a busy loop if the store returns to an earlier era. */
+  const isOfEarlierEra = ({cursor: {era}}: RoutingUpdate) =>
     era < storeEra.current();
 
   async function followRouting(): Promise<void> {
-    const restMs = routingRestMs();
+    const restMs = routingDelayMs();
     if (restMs > 0) {
-      // What happens until then is for a fresh read, not for the feed.
+      // After a pause, a full read replaces the feed.
       cursor = undefined;
-      routingTimer = later(Math.max(restMs, SHORTEST_LOOK_MS), followRouting);
+      routingTimer = schedule(
+        Math.max(restMs, MIN_CHECK_DELAY_MS),
+        followRouting,
+      );
       return;
     }
     routingTimer = undefined;
@@ -268,62 +284,67 @@
     const read = from
       ? await host.routingSource.readNext(from, FEED_WAIT_MS, FEED_TIMEOUT_MS)
       : await host.routingSource.readNow(READ_TIMEOUT_MS);
-    note(from ? 'configuration-feed' : 'configuration', read);
+    recordCall(from ? 'configuration-feed' : 'configuration', read);
     routingFailures = read.kind === 'failed' ? routingFailures + 1 : 0;
     switch (read.kind) {
       case 'read':
         storeTime.note(sentAt, read.value.storeNow);
-        takeRouting(read.value);
-        // The feed passes over what was written before its cursor's number.
+        applyRouting(read.value);
+        // A feed misses what was written before its cursor's revision number.
         if (from && from.era !== read.value.cursor.era) cursor = undefined;
-        // Until there is a first version, the feed wakes for it.
-        routingTimer = later(
-          isOutdated(read.value) ? READ_SPACING_MS : 0,
+        // Until a first version exists, the feed waits for it.
+        routingTimer = schedule(
+          isOfEarlierEra(read.value) ? MIN_READ_INTERVAL_MS : 0,
           followRouting,
         );
         return;
       case 'history-lost':
-        log.info('The history of the configuration is gone; reading anew.');
+        log.info(
+          'The history of the configuration is lost; reading the latest version.',
+        );
         cursor = undefined;
-        routingTimer = later(0, followRouting);
+        routingTimer = schedule(0, followRouting);
         return;
       case 'failed':
-        // The cursor stays: a feed can be resumed after any outage.
-        later(retryMs(routingFailures), followRouting);
+        // The cursor is kept: a feed can be resumed after any outage.
+        schedule(retryMs(routingFailures), followRouting);
     }
   }
 
   async function followUpstreams(): Promise<void> {
-    const restMs = listRestMs();
+    const restMs = listDelayMs();
     if (restMs > 0) {
-      listTimer = later(Math.max(restMs, SHORTEST_LOOK_MS), followUpstreams);
+      listTimer = schedule(
+        Math.max(restMs, MIN_CHECK_DELAY_MS),
+        followUpstreams,
+      );
       return;
     }
     listTimer = undefined;
     const sentAtMs = clock.nowMs();
     listReadAtMs = sentAtMs;
     const read = await host.upstreamSource.readNow(READ_TIMEOUT_MS);
-    note('upstreams', read);
+    recordCall('upstreams', read);
     listFailures = read.kind === 'read' ? 0 : listFailures + 1;
     if (read.kind !== 'read') {
       registry.noteReadFailed();
-      later(retryMs(listFailures), followUpstreams);
+      schedule(retryMs(listFailures), followUpstreams);
       return;
     }
-    // The list is as old as its request at most.
+    // The list is at most as old as its request.
     if (registry.apply(read.value)) listConfirmation.noteRead(sentAtMs);
-    listTimer = later(0, followUpstreams);
+    listTimer = schedule(0, followUpstreams);
   }
 
-  /** Looks again now, unless a read or its retry is under way. */
-  function wakeRouting(): void {
+  /** Checks again now, unless a read or its retry is in progress. */
+  function checkRoutingNow(): void {
     if (!routingTimer || isStopped) return;
     cancel(routingTimer);
     routingTimer = undefined;
     void followRouting();
   }
 
-  function wakeUpstreams(): void {
+  function checkUpstreamsNow(): void {
     if (!listTimer || isStopped) return;
     cancel(listTimer);
     listTimer = undefined;
@@ -335,7 +356,7 @@
     timers.delete(timer);
   }
 
-  function hearRouting(peer: StoreSyncState): void {
+  function receiveRoutingState(peer: StoreSyncState): void {
     const {routingCompleteUntil} = peer;
     if (routingCompleteUntil && peer.routingVersion <= routing.version()) {
       freshness.noteCompleteUntil(routingCompleteUntil);
@@ -343,52 +364,52 @@
     if (peer.routingVersion === routing.version()) {
       routingConfirmation.notePeer(peer.routingAges);
     } else if (peer.routingVersion > routing.version()) {
-      otherRoutingVersion = Math.max(otherRoutingVersion, peer.routingVersion);
-      wakeRouting();
+      peerRoutingVersion = Math.max(peerRoutingVersion, peer.routingVersion);
+      checkRoutingNow();
     }
   }
 
-  /** Others have, or there must be, a newer list than the one known here. */
-  function noteOtherList(revision: StoreRevision): void {
+  /** Peers have a newer list, or the era changed, which implies one. */
+  function noteNewerList(revision: StoreRevision): void {
     if (!isListBehind()) listBehindSinceMs = clock.nowMs();
-    if (isNewerRevision(revision, otherListRevision)) {
-      otherListRevision = revision;
+    if (isNewerRevision(revision, peerListRevision)) {
+      peerListRevision = revision;
     }
-    wakeUpstreams();
+    checkUpstreamsNow();
   }
 
-  function hearUpstreams(peer: StoreSyncState): void {
+  function receiveUpstreamState(peer: StoreSyncState): void {
     registry.noteServed(clock.nowMs() - peer.upstreamAges.ageMs);
     const {upstreamRevision} = peer;
     storeEra.note(upstreamRevision.era);
     if (isNewerRevision(registry.revision(), upstreamRevision)) return;
     for (const delta of peer.listDeltas) registry.applyDelta(delta);
     if (peer.upstreamDigest !== registry.digest()) {
-      noteOtherList(upstreamRevision);
+      noteNewerList(upstreamRevision);
       return;
     }
-    // A peer that missed the same change as this host has the same old list;
-    // hosts that took its word kept upstreams that had left, all together.
-    if (compareRevisions(upstreamRevision, otherListRevision) < 0) return;
+    // A peer that missed the same change has the same outdated list. If such
+    // peers confirmed each other, all would keep upstreams that have left.
+    if (compareRevisions(upstreamRevision, peerListRevision) < 0) return;
     listConfirmation.notePeer(peer.upstreamAges);
     registry.confirm(upstreamRevision);
   }
 
-  function noteEra(era: number): void {
-    noteOtherList({...NO_REVISION, era});
-    timeDueAtMs = clock.nowMs() + TIME_READ_SPREAD_MS * random.nextFloat();
-    wakeRouting();
-    registration.noteEra();
+  function onNewEra(era: number): void {
+    noteNewerList({...NO_REVISION, era});
+    storeTimeDueAtMs = clock.nowMs() + TIME_READ_SPREAD_MS * random.nextFloat();
+    checkRoutingNow();
+    registration.onNewEra();
   }
 
   return {
     start() {
-      storeEra.onChange(noteEra);
+      storeEra.onChange(onNewEra);
       void followRouting();
       void followUpstreams();
       registration.start();
     },
-    unregister: registration.leave,
+    unregister: registration.unregister,
     stop() {
       isStopped = true;
       registration.stop();
@@ -398,18 +419,18 @@
     listAgeMs: listConfirmation.ageMs,
     knowledge: () => ({
       routingVersion: routing.version(),
-      routingAges: routingConfirmation.announced(),
+      routingAges: routingConfirmation.announcedAges(),
       routingCompleteUntil: freshness.completeUntil(),
       upstreamRevision: registry.revision(),
       upstreamDigest: registry.digest(),
-      upstreamAges: listConfirmation.announced(),
+      upstreamAges: listConfirmation.announcedAges(),
       listDeltas: host.isReader() ? registry.deltas() : [],
       isStoreReachable: !isStoreLost,
     }),
     hear(peer) {
-      hearRouting(peer);
-      hearUpstreams(peer);
+      receiveRoutingState(peer);
+      receiveUpstreamState(peer);
     },
-    noteHandedList: listConfirmation.noteHanded,
+    noteHandedList: listConfirmation.noteFetched,
   };
 }
--- a/src/relay/store/upstream_registry.ts
+++ b/src/relay/store/upstream_registry.ts
@@ -1,10 +1,10 @@
 /**
- * The upstreams of all services, from the platform's list of them.
+ * The upstreams of all services, from the list in the platform's store.
  *
- * An entry that is missing means that its upstream has left, unless the list
- * could not be kept up: while the platform's store was away, heartbeats could
- * not arrive and entries lapsed though their upstreams live. Such entries are
- * kept until their upstreams have had time to register again.
+ * An upstream whose entry is missing has left, except after an outage of the
+ * store: heartbeats could not arrive, and entries lapsed although their
+ * upstreams are alive. Such entries are kept until the upstreams have had time
+ * to register again.
  */
 
 import {createBoundedMap} from '../../core/bounded_map.js';
@@ -31,10 +31,10 @@
   type UpstreamSnapshot,
 } from '../../core/upstream.js';
 
-/** Where a list was read. */
+/** The source of a list. */
 export type UpstreamOrigin = 'store' | 'peer';
 
-/** Who found something out about an upstream. */
+/** The host that found something out about an upstream. */
 export type UpstreamFinder = 'self' | 'peer';
 
 export interface UpstreamRegistryHost {
@@ -44,85 +44,86 @@
 
 export interface UpstreamRegistry {
   /**
-   * Takes a list over; false for one that is older than the last. A peer's
-   * list already has what the peer still waits for after an outage.
+   * Applies a list; returns false if it is older than the last one. Entries
+   * missing from a peer's list are removed at once, since the peer's list
+   * already includes those it keeps after an outage.
    */
   apply(snapshot: UpstreamSnapshot, origin?: UpstreamOrigin): boolean;
-  /** Takes over a change that a peer read, if it leads to the peer's list. */
+  /** Applies a peer's delta if it results in the peer's list. */
   applyDelta(delta: ListDelta): void;
-  /** Changes of the last moments, for the peers. */
+  /** Recent changes, to be sent to peers. */
   deltas(): readonly ListDelta[];
-  /** This host could not read the list. */
+  /** This host failed to read the list. */
   noteReadFailed(): void;
-  /** The store answered a read of the list, of this host or of a peer. */
+  /** The store answered a read of the list, by this host or by a peer. */
   noteServed(atMs: number): void;
-  /** New work must not go there: another instance has its address. */
+  /** Stops new work for the upstream: another instance has its address. */
   markGone(id: string): void;
   /**
-   * The upstream said that it leaves, whatever the list says of it. That holds
-   * for its life: the list may lose it and have it as ready again.
+   * The upstream announced that it is leaving. This holds until its instance
+   * ends, whatever the list says: an entry may lapse and return as ready.
    */
   markLeaving(id: string, finder?: UpstreamFinder): void;
-  /** Those that said so lately: to this host, or to any that it hears. */
+  /** Upstreams that announced this recently, to this host or to any host. */
   leaving(finder: UpstreamFinder | 'any'): readonly string[];
   /**
-   * No connection could be made, from here or from a peer; it is left out
-   * until it gives a sign of life.
+   * A connection to the upstream failed, here or at a peer. The upstream is
+   * excluded until its next heartbeat, or for a limited time.
    */
   markUnreachable(id: string, finder?: UpstreamFinder): void;
-  /** Those that this host found by itself, for the peers. */
+  /** Upstreams that this host found unreachable itself, to be sent to peers. */
   unreachable(): readonly string[];
-  /** Whether any is left out since it could not be reached. */
+  /** Whether any upstream is currently excluded as unreachable. */
   hasUnreachable(): boolean;
-  /** Lists that were not taken, as older than the one gone by. */
+  /** Number of lists rejected because they are older than the current one. */
   leftOutCount(): number;
-  /** Missing entries that are kept, as their upstreams may return. */
+  /** Number of missing entries that are kept because they may return. */
   keptCount(): number;
   revision(): StoreRevision;
-  /** The same for lists that differ in nothing but signs of life. */
+  /** Equal for lists that differ only in heartbeats. */
   digest(): number;
   /** The store had the same list at a later revision. */
   confirm(revision: StoreRevision): void;
   isKnown(): boolean;
-  /** Upstreams of a service that take new work. */
+  /** Upstreams of a service that accept new work. */
   open(service: string): readonly Upstream[];
-  /** Any upstream of the list that has not left, draining ones too. */
+  /** Any upstream that is listed or kept, including draining ones. */
   get(id: string): Upstream | undefined;
   /**
-   * The same, unless it drains or has left. For what another host chose: its
-   * list may be older than this one's, and the upstream get new work long
-   * after this host learned that it leaves.
+   * Like `get`, but excludes upstreams that drain or have left. Used for an
+   * upstream chosen by another host, whose list may be older: otherwise it
+   * would get new work long after this host learned that it is leaving.
    */
   getOpen(id: string): Upstream | undefined;
-  /** The list as this host goes by it, for peers. */
+  /** The current list with its kept entries, to be served to peers. */
   snapshot(): UpstreamSnapshot | undefined;
   onChange(listener: () => void): void;
 }
 
 /**
- * An upstream that lives shows it within a heartbeat of about a second and the
- * list's own age; a dead one leaves the list after three of them.
+ * A live upstream shows a heartbeat within about a second plus the age of the
+ * list; a dead one is dropped from the list after three missed ones.
  */
 const UNREACHABLE_FOR_MS = 4_000;
-/** Peers are told for this long that an upstream leaves, of the latest ones. */
-const TELL_LEAVING_MS = 10_000;
-const MOST_TOLD = 64;
-/** A timer may fire this much early by the clock that is read. */
-const TIMER_EARLY_MS = 5;
-/** Failed reads closer together than this are told once. */
-const SAME_FAILURE_MS = 1_500;
-/** Lists that are left out closer together than this are told once. */
-const SAME_LEFT_OUT_MS = 1_000;
+/** The latest leaving upstreams are reported to peers for this long. */
+const LEAVING_REPORTED_FOR_MS = 10_000;
+const MAX_REPORTED_LEAVING = 64;
+/** A timer may fire this much early relative to the clock. */
+const TIMER_TOLERANCE_MS = 5;
+/** Failed reads within this time are logged once. */
+const FAILURE_LOG_INTERVAL_MS = 1_500;
+/** Rejected lists within this time are logged once. */
+const REJECTED_LOG_INTERVAL_MS = 1_000;
 
 const digestOf = (upstreams: readonly Upstream[]) =>
   digestList(new Map(upstreams.map(each => [each.id, each])));
 
 interface LeavingRecord {
   readonly finder: UpstreamFinder;
-  readonly saidAtMs: number;
+  readonly announcedAtMs: number;
 }
 
-interface SilentRecord {
+interface UnreachableRecord {
   readonly heartbeat: StoreRevision;
   readonly untilMs: number;
   readonly finder: UpstreamFinder;
@@ -133,20 +134,25 @@
 ): UpstreamRegistry {
   const {clock, log} = host;
   const entries = new Map<string, Upstream>();
-  /** Missing entries that may come back. */
-  const lapsed = new Set<string>();
-  const gone = new Set<string>();
-  /** Upstreams that said that they leave; kept beyond their entries. */
-  const saidLeaving = createBoundedMap<LeavingRecord>(MOST_REMEMBERED);
-  /** Upstreams that could not be reached, as they were listed then. */
-  const silent = new Map<string, SilentRecord>();
+  /** Missing entries that are kept. */
+  const keptIds = new Set<string>();
+  const replacedIds = new Set<string>();
+  /**
+   * Upstreams that announced that they leave; kept after their entries are
+   * removed.
+   */
+  const leavingRecords = createBoundedMap<LeavingRecord>(MOST_REMEMBERED);
+  /**
+   * Unreachable upstreams, with their heartbeats as of when they were found.
+   */
+  const unreachableRecords = new Map<string, UnreachableRecord>();
   const listeners: Array<() => void> = [];
   let last: UpstreamSnapshot | undefined;
   let byService = new Map<string, Upstream[]>();
   const outage = createListOutage();
   let digest = 0;
   let leftOutCount = 0;
-  let leftOutLoggedAtMs = Number.NEGATIVE_INFINITY;
+  let rejectedLoggedAtMs = Number.NEGATIVE_INFINITY;
   const deltas = createDeltaLog(clock);
   const departures = createDepartures(clock);
 
@@ -154,38 +160,38 @@
     byService = new Map();
     for (const upstream of entries.values()) {
       if (isLeaving(upstream)) continue;
-      if (isSilent(upstream)) continue;
+      if (isUnreachable(upstream)) continue;
       const known = byService.get(upstream.service);
       if (known) known.push(upstream);
       else byService.set(upstream.service, [upstream]);
     }
-    addSilentServices();
+    addUnreachableServices();
     for (const listener of listeners) listener();
   }
 
   const isLeaving = ({id, isDraining}: Upstream) =>
     isDraining ||
-    gone.has(id) ||
-    saidLeaving.has(id) ||
+    replacedIds.has(id) ||
+    leavingRecords.has(id) ||
     departures.isHeldBack(id);
 
-  function isSilent({id, heartbeat}: Upstream): boolean {
-    const record = silent.get(id);
+  function isUnreachable({id, heartbeat}: Upstream): boolean {
+    const record = unreachableRecords.get(id);
     if (!record) return false;
-    // An entry of another era has another number without a sign of life.
+    // The number differs in another era even without a new heartbeat.
     const isOtherEra = record.heartbeat.era !== heartbeat.era;
-    if (isOtherEra) silent.set(id, {...record, heartbeat});
+    if (isOtherEra) unreachableRecords.set(id, {...record, heartbeat});
     const isSame = isOtherEra || record.heartbeat.counter === heartbeat.counter;
     if (isSame && clock.nowMs() < record.untilMs) return true;
-    silent.delete(id);
+    unreachableRecords.delete(id);
     return false;
   }
 
   /**
-   * When all upstreams of a service seem unreachable, the fault is more likely
-   * on this side; then all are tried.
+   * If all upstreams of a service seem unreachable, the fault is more likely on
+   * this host's side; then all of them are tried.
    */
-  function addSilentServices(): void {
+  function addUnreachableServices(): void {
     const unserved = new Map<string, Upstream[]>();
     for (const upstream of entries.values()) {
       if (byService.has(upstream.service)) continue;
@@ -198,40 +204,45 @@
     }
   }
 
-  function drop(id: string, reason: string, origin: UpstreamOrigin): void {
+  function removeEntry(
+    id: string,
+    reason: string,
+    origin: UpstreamOrigin,
+  ): void {
     entries.delete(id);
-    lapsed.delete(id);
-    gone.delete(id);
-    silent.delete(id);
+    keptIds.delete(id);
+    replacedIds.delete(id);
+    unreachableRecords.delete(id);
     departures.noteLeft(id, registry.revision().era);
     const revision = formatRevision(registry.revision());
     log.info('Upstream left.', {upstream: id, reason, origin, revision});
   }
 
   /**
-   * An upstream that started again under its name has lost all that its
-   * earlier life knew and held: nothing of that life may be used any more,
-   * though entries that are missing are kept after an outage.
+   * Removes or keeps the entries missing from a list. An upstream that
+   * restarted under the same name has lost the state of its earlier instance,
+   * so the earlier entry is removed even while missing entries are kept after
+   * an outage.
    */
-  function takeMissing(
+  function applyMissing(
     upstreams: readonly Upstream[],
     nowMs: number,
     origin: UpstreamOrigin,
   ): void {
-    const listed = new Set(upstreams.map(({id}) => id));
-    const names = new Set(
+    const listedIds = new Set(upstreams.map(({id}) => id));
+    const listedNames = new Set(
       upstreams
         .filter(({id}) => !departures.isHeldBack(id))
         .map(({name}) => name),
     );
     for (const {id, name} of [...entries.values()]) {
-      if (listed.has(id)) continue;
-      if (names.has(name)) {
-        drop(id, 'started again', origin);
-      } else if (origin === 'peer' || !outage.isKeeping(nowMs)) {
-        drop(id, 'no longer listed', origin);
-      } else if (!lapsed.has(id)) {
-        lapsed.add(id);
+      if (listedIds.has(id)) continue;
+      if (listedNames.has(name)) {
+        removeEntry(id, 'started again', origin);
+      } else if (origin === 'peer' || !outage.isKeepingMissing(nowMs)) {
+        removeEntry(id, 'no longer listed', origin);
+      } else if (!keptIds.has(id)) {
+        keptIds.add(id);
         log.info('Upstream missing after an outage.', {
           upstream: id,
           keptMs: Math.round(outage.keepUntilMs() - nowMs),
@@ -242,15 +253,15 @@
     }
   }
 
-  function noteEra({era}: StoreRevision, nowMs: number): void {
-    if (last && era > last.revision.era) outage.cameBack(nowMs);
+  function checkForNewEra({era}: StoreRevision, nowMs: number): void {
+    if (last && era > last.revision.era) outage.noteRestored(nowMs);
   }
 
-  function noteLeftOut(revision: StoreRevision, origin: UpstreamOrigin): void {
+  function noteRejected(revision: StoreRevision, origin: UpstreamOrigin): void {
     leftOutCount++;
     const nowMs = clock.nowMs();
-    if (nowMs - leftOutLoggedAtMs < SAME_LEFT_OUT_MS) return;
-    leftOutLoggedAtMs = nowMs;
+    if (nowMs - rejectedLoggedAtMs < REJECTED_LOG_INTERVAL_MS) return;
+    rejectedLoggedAtMs = nowMs;
     log.warn('List of upstreams left out.', {
       revision: formatRevision(revision),
       known: formatRevision(registry.revision()),
@@ -259,24 +270,27 @@
     });
   }
 
-  /** False if it was known. */
+  /** Returns false if it was already known. */
   function noteLeaving(id: string, finder: UpstreamFinder): boolean {
-    if (saidLeaving.has(id)) return false;
-    saidLeaving.set(id, {finder, saidAtMs: clock.nowMs()});
+    if (leavingRecords.has(id)) return false;
+    leavingRecords.set(id, {finder, announcedAtMs: clock.nowMs()});
     log.info('Upstream says that it leaves.', {upstream: id, finder});
     return true;
   }
 
-  /** Those of which a later life under the same name is known. */
-  function findEarlierLives(
+  /** Ids of instances for which a later instance of the same name is known. */
+  function findEarlierInstances(
     upstreams: readonly Upstream[],
   ): ReadonlySet<string> {
-    const starts = new Map<string, number>();
+    const latestStarts = new Map<string, number>();
     for (const {name, startedAtMs = 0} of entries.values()) {
-      starts.set(name, Math.max(startedAtMs, starts.get(name) ?? 0));
+      latestStarts.set(
+        name,
+        Math.max(startedAtMs, latestStarts.get(name) ?? 0),
+      );
     }
     const isEarlier = ({name, startedAtMs = 0}: Upstream) =>
-      startedAtMs < (starts.get(name) ?? 0);
+      startedAtMs < (latestStarts.get(name) ?? 0);
     return new Set(upstreams.filter(isEarlier).map(({id}) => id));
   }
 
@@ -286,24 +300,24 @@
       upstream: id,
       revision: formatRevision(revision),
     });
-    clock.setTimer(HOLD_BACK_MS + TIMER_EARLY_MS, rebuild);
+    clock.setTimer(HOLD_BACK_MS + TIMER_TOLERANCE_MS, rebuild);
   }
 
-  function takeListed(
+  function applyListed(
     upstream: Upstream,
     revision: StoreRevision,
-    isEarlierLife: boolean,
+    isEarlierInstance: boolean,
   ): void {
     const {id} = upstream;
     const known = entries.get(id);
     if (upstream.isDraining) departures.noteDraining(id);
-    // The store has lost its word; hosts that start now never had it.
+    // The restored store has lost the drain state; new hosts never received it.
     else if (departures.hasDrained(id)) noteLeaving(id, 'self');
-    const isOfOlderCopy = departures.isOfOlderCopy(id, revision.era);
-    if (!known && (isOfOlderCopy || isEarlierLife)) {
+    const isFromOlderCopy = departures.isFromOlderCopy(id, revision.era);
+    if (!known && (isFromOlderCopy || isEarlierInstance)) {
       holdBack(id, revision);
     }
-    lapsed.delete(id);
+    keptIds.delete(id);
     entries.set(id, upstream);
     if (!known) {
       log.info('Upstream listed.', {
@@ -320,22 +334,22 @@
   const registry: UpstreamRegistry = {
     apply(snapshot, origin = 'store') {
       if (last && isNewerRevision(last.revision, snapshot.revision)) {
-        noteLeftOut(snapshot.revision, origin);
+        noteRejected(snapshot.revision, origin);
         return false;
       }
       const nowMs = clock.nowMs();
-      if (origin === 'store') outage.served(nowMs);
-      noteEra(snapshot.revision, nowMs);
+      if (origin === 'store') outage.noteServed(nowMs);
+      checkForNewEra(snapshot.revision, nowMs);
       last = snapshot;
       const before = {entries: new Map(entries), digest};
-      const earlierLives = findEarlierLives(snapshot.upstreams);
+      const earlierInstances = findEarlierInstances(snapshot.upstreams);
       for (const upstream of snapshot.upstreams) {
-        const isEarlierLife = earlierLives.has(upstream.id);
-        takeListed(upstream, snapshot.revision, isEarlierLife);
+        const isEarlierInstance = earlierInstances.has(upstream.id);
+        applyListed(upstream, snapshot.revision, isEarlierInstance);
       }
-      takeMissing(snapshot.upstreams, nowMs, origin);
+      applyMissing(snapshot.upstreams, nowMs, origin);
       digest = digestList(entries);
-      deltas.note(before, {entries, digest}, snapshot.revision);
+      deltas.record(before, {entries, digest}, snapshot.revision);
       rebuild();
       return true;
     },
@@ -344,65 +358,71 @@
       const isOld = compareRevisions(revision, registry.revision()) < 0;
       if (toDigest === digest || isOld) return;
       const upstreams = applyDelta(entries, delta);
-      // Readers see a series of changes in different steps. A step from
-      // another list than this one is right if it leads to the reader's.
+      // Readers may see a series of changes in different steps, so a delta from
+      // another list is applied if it results in the reader's list.
       const isStep = fromDigest === digest || digestOf(upstreams) === toDigest;
       if (isStep) registry.apply({revision, upstreams}, 'peer');
     },
     deltas: deltas.recent,
     noteReadFailed() {
       const nowMs = clock.nowMs();
-      if (nowMs - outage.lastFailureAtMs() > SAME_FAILURE_MS) {
+      if (nowMs - outage.lastFailureAtMs() > FAILURE_LOG_INTERVAL_MS) {
         log.warn('The list of upstreams cannot be read.', {
           revision: formatRevision(registry.revision()),
         });
       }
-      outage.readFailed(nowMs);
+      outage.noteReadFailed(nowMs);
     },
-    noteServed: outage.served,
+    noteServed: outage.noteServed,
     markGone(id) {
-      if (!entries.has(id) || gone.has(id)) return;
-      gone.add(id);
-      log.info('Upstream taken out.', {upstream: id});
+      if (!entries.has(id) || replacedIds.has(id)) return;
+      replacedIds.add(id);
+      log.info('Upstream excluded: another instance has its address.', {
+        upstream: id,
+      });
       rebuild();
     },
     markLeaving(id, finder = 'self') {
       if (noteLeaving(id, finder)) rebuild();
     },
     leaving: wanted =>
-      [...saidLeaving.entries()]
+      [...leavingRecords.entries()]
         .filter(([, {finder}]) => wanted === 'any' || finder === wanted)
-        .filter(([, {saidAtMs}]) => clock.nowMs() - saidAtMs < TELL_LEAVING_MS)
+        .filter(
+          ([, {announcedAtMs}]) =>
+            clock.nowMs() - announcedAtMs < LEAVING_REPORTED_FOR_MS,
+        )
         .map(([id]) => id)
-        .slice(-MOST_TOLD),
+        .slice(-MAX_REPORTED_LEAVING),
     markUnreachable(id, finder = 'self') {
       const upstream = entries.get(id);
-      if (!upstream || silent.has(id)) return;
-      silent.set(id, {
+      if (!upstream || unreachableRecords.has(id)) return;
+      unreachableRecords.set(id, {
         heartbeat: upstream.heartbeat,
         untilMs: clock.nowMs() + UNREACHABLE_FOR_MS,
         finder,
       });
       log.info('Upstream unreachable.', {upstream: id, finder});
       rebuild();
-      // A host that goes by what others read sees no sign of life itself.
-      clock.setTimer(UNREACHABLE_FOR_MS + TIMER_EARLY_MS, rebuild);
+      // A host that does not read the list itself sees no heartbeats.
+      clock.setTimer(UNREACHABLE_FOR_MS + TIMER_TOLERANCE_MS, rebuild);
     },
     unreachable: () => [
-      ...[...silent]
+      ...[...unreachableRecords]
         .filter(([, each]) => each.finder === 'self')
         .map(([id]) => id),
-      // Hosts that do not know them as lost leave them out by this.
+      // Tells hosts that never saw these upstreams leave to exclude them as
+      // well.
       ...departures.heldBack(),
     ],
-    hasUnreachable: () => silent.size > 0,
+    hasUnreachable: () => unreachableRecords.size > 0,
     leftOutCount: () => leftOutCount,
-    keptCount: () => lapsed.size,
+    keptCount: () => keptIds.size,
     revision: () => last?.revision ?? NO_REVISION,
     digest: () => digest,
     confirm(revision) {
       if (last && isNewerRevision(revision, last.revision)) {
-        noteEra(revision, clock.nowMs());
+        checkForNewEra(revision, clock.nowMs());
         last = {...last, revision};
       }
     },
--- a/tests/relay/fleet/fleet_network.ts
+++ b/tests/relay/fleet/fleet_network.ts
@@ -27,7 +27,7 @@
   createStoreConfirmation,
   type ConfirmedAges,
 } from '../../../src/relay/store/store_confirmation.js';
-import {UPSTREAMS_EVERY_MS} from '../../../src/relay/store/store_watch.js';
+import {LIST_READ_INTERVAL_MS} from '../../../src/relay/store/store_watch.js';
 import {silentLog} from '../../support/silent_log.js';
 import {revisionAt} from '../../support/store_revisions.js';
 
@@ -159,10 +159,10 @@
     });
     const knowledge = () => ({
       routingVersion: 1,
-      routingAges: confirmation.announced(),
+      routingAges: confirmation.announcedAges(),
       upstreamRevision: revisionAt(1),
       upstreamDigest: 0,
-      upstreamAges: confirmation.announced(),
+      upstreamAges: confirmation.announcedAges(),
       listDeltas: [],
       isStoreReachable: true,
     });
@@ -231,7 +231,7 @@
 
     function readStore(): void {
       if (readers.isReader()) confirmation.noteRead(clock.nowMs());
-      ownClock.host.setTimer(UPSTREAMS_EVERY_MS, readStore);
+      ownClock.host.setTimer(LIST_READ_INTERVAL_MS, readStore);
     }
 
     const host: FleetHost = {
@@ -263,7 +263,7 @@
     hosts.set(name, host);
     isDown.set(address, ownClock.isStopped);
     exchange.start();
-    clock.setTimer(random.nextInt(UPSTREAMS_EVERY_MS), readStore);
+    clock.setTimer(random.nextInt(LIST_READ_INTERVAL_MS), readStore);
     return host;
   }
 
--- a/tests/relay/fleet/many_hosts_test.ts
+++ b/tests/relay/fleet/many_hosts_test.ts
@@ -5,8 +5,8 @@
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
 import {
-  LIST_CONFIRMED_MS,
-  ROUTING_CONFIRMED_MS,
+  MAX_UNCONFIRMED_LIST_MS,
+  MAX_UNCONFIRMED_ROUTING_MS,
 } from '../../../src/relay/store/store_watch.js';
 import {makeFleet, type Fleet, type FleetHost} from './fleet_network.js';
 
@@ -221,7 +221,7 @@
       for (const each of hosts) most = Math.max(most, each.confirmedAgeMs());
     }
     assert.ok(
-      most < Math.min(LIST_CONFIRMED_MS, ROUTING_CONFIRMED_MS),
+      most < Math.min(MAX_UNCONFIRMED_LIST_MS, MAX_UNCONFIRMED_ROUTING_MS),
       `${count}: ${most}`,
     );
   }
--- a/tests/relay/store/leaving_after_outage_test.ts
+++ b/tests/relay/store/leaving_after_outage_test.ts
@@ -1,31 +1,34 @@
 /**
- * Calls reached an upstream over two seconds after the store had said that it
- * leaves. The store had turned some hosts away for eight seconds and served
- * them again; from then on they went by what their peers read. The upstream
- * left four seconds later. That change brought about the first read of their
- * own since the outage; they took it for the moment at which the store came
- * back, and kept the missing entry for the time that upstreams have to return.
+ * Guards against requests to an upstream for more than two seconds after the
+ * store listed it as leaving.
  *
- * Evidence: of nine hosts only one sent such calls, one of the three that the
- * store had turned away; the last came 2.07 s after the change, and missing
- * entries are kept for 2.3 s. In the first test below the host that was turned
- * away keeps the entry, and the eight others drop it within 0.8 s.
+ * Some of the hosts could not reach the store for eight seconds and then relied
+ * on their peers' reads. When an upstream left four seconds later, these hosts
+ * made their first own read since the outage. They mistook it for the moment
+ * the store came back and kept the missing entry for 2.3 s, the time upstreams
+ * have to register again. Hosts that had been served all along dropped it
+ * within 0.8 s.
  */
 
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
 import {makeSite, makeUpstream} from './store_site.js';
 
-/** After the store's word, an upstream gets nothing more from then on. */
-const LEAVING_BOUND_MS = 2_000;
-/** Hosts are held to the bound once the store has served them for so long. */
+/**
+ * An upstream gets no requests from this long after the store lists it as
+ * leaving.
+ */
+const LEAVING_LIMIT_MS = 2_000;
+/** The limits apply once the store has served a host for this long again. */
 const SERVED_AGAIN_MS = 3_000;
 /** By then each host has read the registry of hosts twice. */
 const SETTLED_MS = 12_000;
-/** More than one peer tells another as a change. */
-const MANY = 14;
+/** More upstreams than fit into one delta. */
+const UPSTREAM_COUNT = 14;
 
-const upstreams = Array.from({length: MANY}, (_, i) => makeUpstream(`u${i}`));
+const upstreams = Array.from({length: UPSTREAM_COUNT}, (_, i) =>
+  makeUpstream(`u${i}`),
+);
 
 type Site = ReturnType<typeof makeSite>;
 
@@ -38,23 +41,23 @@
   );
 }
 
-function othersOf(site: Site): readonly string[] {
+function nonReadersOf(site: Site): readonly string[] {
   return site.hosts
     .filter(each => !each.readers.isReader())
     .map(({hostId}) => hostId);
 }
 
 /**
- * Turns one host away that goes by what others read. The list changes
- * meanwhile, so that it tries to read it, and is handed over by a peer.
+ * Cuts one host that is not a reader off the store while the list changes, so
+ * that it fails to read the list and fetches it from a peer.
  */
-async function turnOneAway(site: Site): Promise<string> {
+async function cutOneOff(site: Site): Promise<string> {
   site.setUpstreams(upstreams);
   await site.clock.advance(SETTLED_MS);
-  const [away] = othersOf(site);
+  const [away] = nonReadersOf(site);
   site.cut.add(away);
   site.hearsNoChanges.add(away);
-  site.setUpstreams(upstreams.slice(0, MANY - 1));
+  site.setUpstreams(upstreams.slice(0, UPSTREAM_COUNT - 1));
   await site.clock.advance(1_500);
   site.handOver(away);
   await site.clock.advance(6_500);
@@ -62,49 +65,49 @@
   return away;
 }
 
-test('a host that was turned away leaves out what leaves later', async () => {
-  // The datagrams in which readers tell changes are lost on the way to it.
+test('a host that was cut off the store excludes an upstream that leaves later', async () => {
+  // The datagrams with the readers' deltas are lost on the way to it.
   const site = makeSite(9);
-  await turnOneAway(site);
+  await cutOneOff(site);
   await site.clock.advance(SERVED_AGAIN_MS + 500);
-  site.setUpstreams(upstreams.slice(1, MANY - 1));
-  await site.clock.advance(LEAVING_BOUND_MS);
+  site.setUpstreams(upstreams.slice(1, UPSTREAM_COUNT - 1));
+  await site.clock.advance(LEAVING_LIMIT_MS);
   for (const [hostId, open] of openAt(site)) {
     assert.equal(open.includes('u0'), false, hostId);
   }
 });
 
-test('hosts that all missed a change do not take each other for up to date', async () => {
-  // Calls go to upstreams that left. Too many left at once for peers to tell,
-  // so that all hosts but the readers keep the same old list; each is told by
-  // the others that it is right, sooner than it reads the list itself.
+test('hosts that all missed a change do not confirm each other', async () => {
+  // Guards against hosts that confirm each other's outdated list. Too many
+  // upstreams leave at once for a delta, so all hosts but the readers keep the
+  // old list, and each confirmation delays the others' own reads.
   const site = makeSite(9);
   site.setUpstreams(upstreams);
   await site.clock.advance(SETTLED_MS);
   site.setUpstreams([upstreams[0]]);
-  await site.clock.advance(LEAVING_BOUND_MS);
+  await site.clock.advance(LEAVING_LIMIT_MS);
   for (const [hostId, open] of openAt(site)) {
     assert.deepEqual(open, ['u0'], hostId);
   }
 });
 
-test('a host that the store serves again says so', async () => {
-  // A host that was turned away once stayed out of those that read for all and
-  // that may plan, for as long as it had no reason of its own to call the store.
+test('a host that can reach the store again announces it', async () => {
+  // Guards against a host that, once cut off, no longer counts as a possible
+  // reader or placer because it has no other reason to call the store.
   const site = makeSite(9);
-  await turnOneAway(site);
+  await cutOneOff(site);
   await site.clock.advance(SERVED_AGAIN_MS);
   for (const {hostId, watch} of site.hosts) {
     assert.equal(watch.isStoreReachable(), true, hostId);
   }
 });
 
-test('a host that the store turns away does not ask it all the time', async () => {
-  // Each of the hosts asked four times a second for as long as it was turned
-  // away, for a configuration that a peer had handed over to it long before.
+test('a host that cannot reach the store calls it rarely', async () => {
+  // Guards against hosts that call the store four times a second while they are
+  // cut off, for a configuration that they have already fetched from a peer.
   const site = makeSite(9);
   await site.clock.advance(SETTLED_MS);
-  const away = othersOf(site).slice(0, 3);
+  const away = nonReadersOf(site).slice(0, 3);
   for (const hostId of away) site.cut.add(hostId);
   await site.clock.advance(200);
   site.configure();
@@ -116,10 +119,10 @@
   assert.ok(perSecond <= 1, `${perSecond} calls a second`);
 });
 
-test('entries that lapsed in an outage for all are kept at every host', async () => {
-  // The store was away for all; upstreams that live are listed again within
-  // two seconds of its return. No host may refuse callers meanwhile, and none
-  // may keep what is missing after that.
+test('entries that lapsed in an outage for all hosts are kept on every host', async () => {
+  // The store was down for all hosts; live upstreams are listed again within
+  // two seconds after it is back. Until then no host may refuse callers, and
+  // afterwards none may keep missing entries.
   const site = makeSite(9);
   site.setUpstreams(upstreams);
   await site.clock.advance(3_000);
@@ -129,7 +132,7 @@
   site.store.isDown = false;
   await site.clock.advance(1_500);
   for (const [hostId, open] of openAt(site)) {
-    assert.equal(open.length, MANY, hostId);
+    assert.equal(open.length, UPSTREAM_COUNT, hostId);
   }
   site.setUpstreams(upstreams.slice(0, 2));
   await site.clock.advance(2_500);
@@ -138,18 +141,18 @@
   }
 });
 
-test('what hosts hear from each other grows old as fast as the clock', async () => {
-  // Calls go to an upstream that left: those who read for all died, and the
-  // others are under load and tell each other many times a second. The age of
-  // a list loses the time that its datagram takes at each hop, so that a list
-  // that nobody reads looks fresh for long.
+test('ages passed between hosts increase as fast as the clock', async () => {
+  // Guards against requests to an upstream that has left. All readers died, and
+  // the other hosts announce many times a second. An age loses the transit time
+  // of its datagram at each hop, so a list that nobody reads could look fresh
+  // for long.
   const site = makeSite(9, {hearMs: 30, announceEveryMs: 20});
   site.setUpstreams(upstreams);
   await site.clock.advance(SETTLED_MS);
   const readers = site.hosts.filter(each => each.readers.isReader());
   for (const {hostId} of readers) site.kill(hostId);
   site.setUpstreams(upstreams.slice(1));
-  await site.clock.advance(LEAVING_BOUND_MS);
+  await site.clock.advance(LEAVING_LIMIT_MS);
   for (const {hostId, registry} of site.live()) {
     const open = registry.open('uus-pearaamat').map(({id}) => id);
     assert.equal(open.includes('u0'), false, hostId);
--- a/tests/relay/store/store_site.ts
+++ b/tests/relay/store/store_site.ts
@@ -1,6 +1,6 @@
 /**
- * A store and several hosts that follow it and tell each other, in virtual
- * time.
+ * A simulated store and several hosts that read it and exchange their state, in
+ * virtual time.
  */
 
 import type {Routing} from '../../../src/core/routing_types.js';
@@ -27,20 +27,23 @@
 
 const ANSWER_MS = 4;
 
-/** How hosts tell each other. */
-export interface Chatter {
-  /** From the making of a datagram until the receiver takes it up. */
+/** The timing of announcements between hosts. */
+export interface AnnouncementTiming {
+  /** Time from creating a datagram to processing it at the receiver. */
   readonly hearMs: number;
   readonly announceEveryMs: number;
 }
 
-const CALM: Chatter = {hearMs: 3, announceEveryMs: 250};
+const DEFAULT_TIMING: AnnouncementTiming = {hearMs: 3, announceEveryMs: 250};
 /**
- * Of many, three tell all, each twice a second and not at the same time; the
- * others tell these.
+ * In a large deployment: three coordinators, each sending to all others twice a
+ * second at different times, while the others send to the coordinators.
  */
-export const OF_MANY: Chatter = {hearMs: 3, announceEveryMs: 200};
-const MOST_IN_MESH = 16;
+export const LARGE_DEPLOYMENT_TIMING: AnnouncementTiming = {
+  hearMs: 3,
+  announceEveryMs: 200,
+};
+const MAX_MESH_HOSTS = 16;
 
 export function makeUpstream(id: string): Upstream {
   return {
@@ -55,7 +58,7 @@
   };
 }
 
-/** All that the store had at one moment. */
+/** The contents of the store at one moment. */
 export interface StoreCopy {
   readonly revision: number;
   readonly version: number;
@@ -64,34 +67,37 @@
   readonly registered: readonly HostRecord[];
 }
 
-export function makeSite(hostCount: number, chatter = CALM) {
+export function makeSite(hostCount: number, timing = DEFAULT_TIMING) {
   const clock = createVirtualClock(1_000);
   const store = {
     era: 0,
-    /** The counter of all writes. */
+    /** The revision counter, increased by each write. */
     revision: 1,
-    /** The operator's number of the configuration, and when it was written. */
+    /**
+     * The version of the configuration, and the revision at which it was
+     * written.
+     */
     version: 1,
     configuredAt: 1,
     calls: 0,
     isDown: false,
-    /** Of the store's steady clock, against that of the hosts. */
+    /** Offset of the store's steady clock from that of the hosts. */
     clockShiftMs: 0,
   };
   let upstreams = [makeUpstream('a'), makeUpstream('b')];
   let accounts: Routing['accounts'] = [];
   /** The registry of hosts. */
   const registered = new Map<string, HostRecord>();
-  /** Hosts that the store turns away. */
+  /** Hosts that cannot reach the store. */
   const cut = new Set<string>();
-  /** Hosts to which the datagrams that tell a change are lost. */
+  /** Hosts that do not receive any deltas. */
   const hearsNoChanges = new Set<string>();
   const calls = new Map<string, number>();
-  /** Told of the era by each answer, by host. */
+  /** By host: the era tracker, updated by each answer. */
   const eras = new Map<string, StoreEra>();
   const wakers = new Set<() => void>();
-  const isMesh = hostCount <= MOST_IN_MESH;
-  /** Where hosts are many, what all of them know of each other. */
+  const isMesh = hostCount <= MAX_MESH_HOSTS;
+  /** In a large deployment: the list of members, known to all hosts. */
   let known: ReadonlyArray<{
     readonly hostId: string;
     readonly isStoreReachable: boolean;
@@ -112,7 +118,7 @@
     });
   }
 
-  /** The store does not have the history that was asked for. */
+  /** The store no longer has the history that was requested. */
   const answerLost = (): Promise<StoreRead<never>> =>
     Promise.resolve({kind: 'history-lost'});
 
@@ -172,7 +178,7 @@
         isReader: readers.isReader,
         isCandidate: readers.isCandidate,
         isPlacing: () => false,
-        isSought: () => isMesh || tellers.includes(hostId),
+        isSought: () => isMesh || coordinatorIds.includes(hostId),
         isAlone: () => false,
         onHosts: () => undefined,
         routingSource: {
@@ -241,18 +247,20 @@
     }));
   }
 
-  const doesTell = (fromHostId: string, toHostId: string) =>
-    isMesh || tellers.includes(fromHostId) || tellers.includes(toHostId);
+  const isSentTo = (fromHostId: string, toHostId: string) =>
+    isMesh ||
+    coordinatorIds.includes(fromHostId) ||
+    coordinatorIds.includes(toHostId);
 
   function announce(): void {
     noteMembers();
     for (const from of hosts) {
       if (dead.has(from.hostId)) continue;
       const knowledge = {hostId: from.hostId, ...from.watch.knowledge()};
-      clock.setTimer(chatter.hearMs, () => {
+      clock.setTimer(timing.hearMs, () => {
         for (const to of hosts) {
           if (to === from || dead.has(to.hostId)) continue;
-          if (!doesTell(from.hostId, to.hostId)) continue;
+          if (!isSentTo(from.hostId, to.hostId)) continue;
           const heard = hearsNoChanges.has(to.hostId)
             ? {...knowledge, listDeltas: []}
             : knowledge;
@@ -261,11 +269,11 @@
         }
       });
     }
-    clock.setTimer(chatter.announceEveryMs, announce);
+    clock.setTimer(timing.announceEveryMs, announce);
   }
   noteMembers();
-  /** They hear all and tell all. */
-  const tellers = isMesh ? [] : hosts[0].readers.readerIds();
+  /** The coordinators, which exchange datagrams with all hosts. */
+  const coordinatorIds = isMesh ? [] : hosts[0].readers.readerIds();
   clock.setTimer(10, announce);
 
   return {
@@ -277,13 +285,13 @@
     hearsNoChanges,
     callsOf: (hostIds: readonly string[]) =>
       hostIds.reduce((sum, hostId) => sum + (calls.get(hostId) ?? 0), 0),
-    /** Another host, or one that starts anew, joins. */
+    /** Adds a host, or restarts one. */
     join(hostId: string) {
       const host = makeHost(hostId);
       hosts.push(host);
       return host;
     },
-    /** A peer that the store serves hands over what it has. */
+    /** Gives the host the data of a peer that can reach the store. */
     handOver(hostId: string) {
       const host = hosts.find(each => each.hostId === hostId);
       const peer = hosts.find(each => !cut.has(each.hostId));
@@ -313,7 +321,9 @@
     setAccounts(next: Routing['accounts']) {
       accounts = next;
     },
-    /** Writes of others, which change neither list nor configuration. */
+    /**
+     * Makes other writes, which change neither the list nor the configuration.
+     */
     write(count: number) {
       store.revision += count;
     },
@@ -324,7 +334,7 @@
       upstreams,
       registered: [...registered.values()],
     }),
-    /** The store comes back from an older copy. */
+    /** Restores the store from an older copy. */
     restore({upstreams: listed, registered: known, ...numbers}: StoreCopy) {
       Object.assign(store, numbers);
       registered.clear();
@@ -332,7 +342,7 @@
       upstreams = listed;
       store.era++;
     },
-    /** The operator writes its newest version, or one that was lost again. */
+    /** Writes the next version of the configuration, or repeats a lost one. */
     configure(version = store.version + 1) {
       store.version = version;
       store.configuredAt = ++store.revision;
--- a/tests/relay/store/store_watch_test.ts
+++ b/tests/relay/store/store_watch_test.ts
@@ -3,9 +3,10 @@
 import {makeSite, makeUpstream} from './store_site.js';
 import {revisionAt} from '../../support/store_revisions.js';
 
-test('of many hosts three read the store, and all stay fresh', async () => {
-  // Each call to the store costs as much as a fifth of a posting; 90 hosts
-  // made 160 calls a second to learn that nothing had changed.
+test('in a large deployment three hosts read the store and all stay current', async () => {
+  // Guards against the cost of reads by every host. A call to the store costs
+  // as much as a fifth of a posting, and 90 hosts made 160 calls a second to
+  // learn that nothing had changed.
   const {clock, store, hosts, beat} = makeSite(30);
   await clock.advance(3_000);
   const before = store.calls;
@@ -35,7 +36,7 @@
   }
 });
 
-test('a configuration is in force everywhere soon after its acknowledgement', async () => {
+test('a configuration is in force everywhere soon after it is acknowledged', async () => {
   const {clock, hosts, configure} = makeSite(30);
   await clock.advance(3_000);
   configure();
@@ -43,9 +44,9 @@
   for (const {routing} of hosts) assert.equal(routing.version(), 2);
 });
 
-test('when all readers die at once the others read within the bounds', async () => {
-  // Requests go to an upstream that drains: those who read for all died just
-  // before, and the others still believe what they confirmed last.
+test('when all readers die at once, the others read within the time limits', async () => {
+  // Guards against requests to a draining upstream: the readers died just
+  // before, and their last confirmations are still valid.
   const {clock, hosts, kill, live, setUpstreams, configure} = makeSite(30);
   await clock.advance(3_000);
   const readers = hosts.filter(each => each.readers.isReader());
@@ -60,7 +61,7 @@
   }
 });
 
-test('readers that the store turns away are replaced', async () => {
+test('readers that cannot reach the store are replaced', async () => {
   const {clock, hosts, cut, setUpstreams} = makeSite(30);
   await clock.advance(3_000);
   const readers = hosts.filter(each => each.readers.isReader());
@@ -75,9 +76,9 @@
   }
 });
 
-test('a change of the list costs the calls of the readers only', async () => {
-  // Engines come and go each second on a bad day. Each of 65 hosts that heard
-  // that its list was behind read it once more: 5,000 calls to the store a day.
+test('only readers call the store for a change of the list', async () => {
+  // Guards against an extra read by every host for each change: with 65 hosts
+  // and frequent engine changes, that took 5,000 calls a day.
   const {clock, store, hosts, setUpstreams} = makeSite(30);
   await clock.advance(3_000);
   const before = store.calls;
@@ -94,8 +95,8 @@
 });
 
 test('a host that missed a change reads the list itself', async () => {
-  // The datagram with one of two changes was lost; the next change starts from
-  // a list that this host never had.
+  // The datagram with the first of two deltas was lost, so the second one
+  // starts from a list that this host never had.
   const {clock, hosts, setUpstreams} = makeSite(30);
   await clock.advance(3_000);
   const reader = hosts.find(each => each.readers.isReader());
@@ -111,10 +112,10 @@
   assert.deepEqual(ids, ['b']);
 });
 
-test('an outage of the store costs those that do not read for others few calls', async () => {
-  // The store is away for eight seconds. Hundreds of hosts each called it four
-  // times a second for the list and as often for the configuration, though
-  // three would have found that it is back, and told them.
+test('hosts that are not reader candidates make few calls during an outage', async () => {
+  // Guards against hundreds of hosts that each call the store eight times a
+  // second during an outage, although three readers would detect its end and
+  // inform them.
   const {clock, store, hosts, callsOf, setUpstreams} = makeSite(30);
   await clock.advance(3_000);
   const others = hosts
@@ -126,7 +127,7 @@
   const perHost = (callsOf(others) - before) / others.length;
   assert.ok(perHost <= 16, `${perHost} calls a host`);
   store.isDown = false;
-  // Entries that lapsed with the store may come back until then.
+  // Entries that lapsed in the outage may return until then.
   await clock.advance(3_000);
   setUpstreams([makeUpstream('b')]);
   await clock.advance(1_700);
--- a/tests/relay/store/upstream_registry_test.ts
+++ b/tests/relay/store/upstream_registry_test.ts
@@ -36,23 +36,23 @@
   };
 }
 
-test('an upstream that is no longer listed gets nothing more', () => {
+test('an upstream that is no longer listed gets no new work', () => {
   const {list, open} = makeRegistry();
   list(makeUpstream('a'), makeUpstream('b'));
   list(makeUpstream('b'));
   assert.deepEqual(open(), ['b']);
 });
 
-test('a draining upstream gets nothing more', () => {
+test('a draining upstream gets no new work', () => {
   const {list, open} = makeRegistry();
   list(makeUpstream('a'), makeUpstream('b'));
   list(makeUpstream('a', {isDraining: true}), makeUpstream('b'));
   assert.deepEqual(open(), ['b']);
 });
 
-test('upstreams that lapsed in an outage are kept until they had time to return', async () => {
-  // Callers are refused though all upstreams live: the store was away for some
-  // seconds, heartbeats could not arrive, and its first list is empty.
+test('upstreams that lapsed in an outage are kept until they have had time to return', async () => {
+  // Guards against refused callers although all upstreams are alive: heartbeats
+  // could not arrive during an outage, so the first list after it is empty.
   const {clock, registry, list, open} = makeRegistry();
   list(makeUpstream('a'), makeUpstream('b'));
   registry.noteReadFailed();
@@ -67,9 +67,9 @@
   assert.deepEqual(open(), ['b'], 'what is still missing has left');
 });
 
-test('what is missing is not kept when only this host failed to read', async () => {
-  // Calls go to an upstream that left: the store turned this host away and
-  // served its peers, so that heartbeats arrived all the time.
+test('missing upstreams are not kept if only this host failed to read', async () => {
+  // Guards against requests to an upstream that has left: this host could not
+  // reach the store, but its peers and the upstreams could.
   const {clock, registry, list, open} = makeRegistry();
   list(makeUpstream('a'), makeUpstream('b'));
   for (let i = 0; i < 8; i++) {
@@ -81,7 +81,7 @@
   assert.deepEqual(open(), ['b']);
 });
 
-test('one read that fails is no outage', async () => {
+test('a single failed read is not an outage', async () => {
   const {clock, registry, list, open} = makeRegistry();
   list(makeUpstream('a'), makeUpstream('b'));
   await clock.advance(1_300);
@@ -91,9 +91,9 @@
   assert.deepEqual(open(), ['b']);
 });
 
-test('an unreachable upstream is left out until it shows a sign of life', async () => {
-  // Each request loses the time of a connection attempt to a dark host, on
-  // every host again, for as long as the list still has it.
+test('an unreachable upstream is excluded until its next heartbeat', async () => {
+  // Guards against a dead upstream that stays listed: each request on each host
+  // would lose the time of a connection attempt.
   const {registry, list, open} = makeRegistry();
   list(makeUpstream('a'), makeUpstream('b'));
   registry.markUnreachable('a');
@@ -107,9 +107,9 @@
   assert.deepEqual(open(), ['a', 'b']);
 });
 
-test('when none can be reached all are tried', () => {
-  // The host's own link was harmed for a moment; with none left it would
-  // refuse its callers for seconds after.
+test('if no upstream is reachable, all are tried', () => {
+  // Guards against refusing all callers for seconds after a short fault of the
+  // host's own link.
   const {registry, list, open} = makeRegistry();
   list(makeUpstream('a'), makeUpstream('b'));
   registry.markUnreachable('a');
@@ -117,17 +117,17 @@
   assert.deepEqual(open(), ['a', 'b']);
 });
 
-test('an older list is left out', () => {
+test('an older list is rejected', () => {
   const {registry, open} = makeRegistry();
   registry.apply({revision: revisionAt(5), upstreams: [makeUpstream('a')]});
   registry.apply({revision: revisionAt(4), upstreams: [makeUpstream('old')]});
   assert.deepEqual(open(), ['a']);
 });
 
-test('a list from a peer counts though the store is away for this host', async () => {
-  // A host that the store turns away sends to upstreams that left seconds ago:
-  // its own failed reads look like an outage in which entries lapse, but the
-  // peers still read the list.
+test('a list from a peer is applied while this host cannot reach the store', async () => {
+  // Guards against requests to an upstream that left seconds ago. The host's
+  // own failed reads look like an outage in which entries lapse, but its peers
+  // still read the list.
   const {clock, registry, list, open} = makeRegistry();
   list(makeUpstream('a'), makeUpstream('b'));
   registry.noteReadFailed();
@@ -139,7 +139,7 @@
   assert.deepEqual(open(), ['b']);
 });
 
-test('peers are handed what is still waited for after an outage', async () => {
+test('the list served to peers includes entries kept after an outage', async () => {
   const {clock, registry, list} = makeRegistry();
   list(makeUpstream('a'), makeUpstream('b'));
   registry.noteReadFailed();
@@ -151,9 +151,9 @@
   );
 });
 
-test('what a peer could not reach is left out here, and not told on', () => {
-  // Each host in turn loses a request to the same dark upstream; and what
-  // hosts told each other would go round for ever.
+test('an upstream unreachable for a peer is excluded, but not passed on', () => {
+  // Without exclusion, each host in turn would lose a request to the same
+  // upstream. If hosts passed the finding on, it would circulate forever.
   const {registry, list, open} = makeRegistry();
   list(makeUpstream('a'), makeUpstream('b'));
   registry.markUnreachable('a', 'peer');
@@ -161,10 +161,10 @@
   assert.deepEqual(registry.unreachable(), []);
 });
 
-test('an upstream that started again under its name is another one', async () => {
-  // An engine crashes and is back under its name within a second, while the
-  // store is just back from an outage. The list has its new life; the old one
-  // is missing, like entries that may still return, and would be kept.
+test('an upstream that restarts under the same name is a new instance', async () => {
+  // Guards against keeping an engine's earlier instance. The engine restarts
+  // under the same name within a second, just after an outage. Its new instance
+  // is listed, and the earlier one is missing like entries that may return.
   const {clock, registry, list, open} = makeRegistry();
   const before = makeUpstream('a~1', {name: 'a'});
   list(before, makeUpstream('b'));
@@ -180,10 +180,10 @@
   assert.equal(registry.hasUnreachable(), false);
 });
 
-test('a host that reads no list tries an unreachable upstream again by itself', async () => {
-  // One connection failed, and the upstream lives. Only readers of the list see
-  // its signs of life; a host that goes by their word left it out until the
-  // list changed, for minutes where nothing else happened.
+test('a host that does not read the list retries an unreachable upstream after some time', async () => {
+  // Guards against excluding a live upstream after one failed connection. Only
+  // readers see its heartbeats; other hosts excluded it until the list changed,
+  // which took minutes.
   const {clock, registry, list, open} = makeRegistry();
   list(makeUpstream('a'), makeUpstream('b'));
   registry.markUnreachable('a');
@@ -193,12 +193,11 @@
   assert.equal(registry.hasUnreachable(), false);
 });
 
-test('a change that another reader saw in fewer steps is taken over, too', async () => {
-  // Engines are replaced one after the other. Three hosts read the list at
-  // different times and tell what changed for them: what one saw in two steps
-  // is one for the next. A host that had the first step knew its list to be
-  // behind with the word of the second reader, and read the store itself; so
-  // did hundreds, with each change.
+test('a delta that combines several steps is applied', async () => {
+  // Guards against a read by every host when engines are replaced one after the
+  // other. Readers read the list at different times, so two changes for one are
+  // a single change for another. A host that had applied the first change could
+  // not apply the combined one, and read the store itself.
   const [first, second, host] = [
     makeRegistry(),
     makeRegistry(),
@@ -222,7 +221,7 @@
   assert.deepEqual(host.open(), ['c']);
 });
 
-test('a change that leads elsewhere from this list is left alone', async () => {
+test('a delta that does not result in the list of the reader is ignored', async () => {
   const [reader, host] = [makeRegistry(), makeRegistry()];
   reader.list(makeUpstream('a'), makeUpstream('b'));
   reader.list(makeUpstream('b'));
@@ -232,8 +231,8 @@
   assert.equal(host.registry.digest(), digest);
 });
 
-test('an upstream that said that it leaves stays out while its entry comes and goes', () => {
-  // Guards against a word that is forgotten with the entry of the list.
+test('an upstream that announced leaving stays excluded if its entry lapses and returns', () => {
+  // Guards against the announcement being dropped together with the list entry.
   const {registry, list, open} = makeRegistry();
   list(makeUpstream('a'), makeUpstream('b'));
   registry.markLeaving('a');
@@ -244,15 +243,15 @@
   assert.equal(registry.getOpen('a'), undefined);
 });
 
-test('upstreams that leave are not used when no other is left', () => {
-  // Guards against a service without sound upstreams that uses all it has.
+test('leaving upstreams are not used even if no others remain', () => {
+  // Guards against a service that uses all its upstreams if none is usable.
   const {registry, list, open} = makeRegistry();
   list(makeUpstream('a'));
   registry.markLeaving('a');
   assert.deepEqual(open(), []);
 });
 
-test('peers are told who leaves by the host that was told, and by those that tell all', () => {
+test('leaving upstreams can be listed by who found them', () => {
   const {registry, list} = makeRegistry();
   list(makeUpstream('a'), makeUpstream('b'));
   registry.markLeaving('a');
@@ -261,8 +260,8 @@
   assert.deepEqual(registry.leaving('any'), ['a', 'b']);
 });
 
-test('an upstream that comes back with an older copy is used once the store has had time to drop it', async () => {
-  // Guards against a live upstream that is left out for good.
+test('an upstream that returns with an older copy is used once the store has had time to drop it', async () => {
+  // Guards against excluding a live upstream permanently.
   const {clock, registry, list, open} = makeRegistry();
   const [a, b] = [makeUpstream('a'), makeUpstream('b')];
   list(a, b);
@@ -284,8 +283,8 @@
   assert.deepEqual(open().sort(), ['a', 'b']);
 });
 
-test('peers are told who leaves where an older copy has it as ready', () => {
-  // Guards against a host that started after the store lost the word.
+test('a draining upstream that an older copy lists as ready is reported to peers as leaving', () => {
+  // Guards against a host that started after the store lost the drain state.
   const {registry, list, open} = makeRegistry();
   const [a, b] = [makeUpstream('a'), makeUpstream('b')];
   list({...a, isDraining: true}, b);
@@ -295,8 +294,9 @@
   assert.deepEqual(registry.leaving('self'), ['a']);
 });
 
-test('an earlier life that an older copy lists does not replace the present one', () => {
-  // Guards against calls to a life that ended, and none to the one that runs.
+test('an earlier instance listed by an older copy does not replace the current one', () => {
+  // Guards against sending requests to the ended instance instead of the live
+  // one.
   const {registry, list, open} = makeRegistry();
   const first = makeUpstream('a~1', {name: 'a', startedAtMs: 1});
   const second = makeUpstream('a~2', {name: 'a', startedAtMs: 2});
@@ -306,8 +306,8 @@
   assert.deepEqual(open(), ['a~2']);
 });
 
-test('an earlier life is held back by a host that never knew it', () => {
-  // Guards against a host that started after the earlier life had ended.
+test('an earlier instance is held back by a host that never saw it', () => {
+  // Guards against a host that started after the earlier instance had ended.
   const {registry, list, open} = makeRegistry();
   const second = makeUpstream('a~2', {name: 'a', startedAtMs: 2});
   const first = makeUpstream('a~1', {name: 'a', startedAtMs: 1});
@@ -316,8 +316,8 @@
   assert.deepEqual(open(), ['a~2']);
 });
 
-test('an older copy is no sign of life of an upstream that cannot be reached', () => {
-  // Guards against the number of a row that goes back and looks like a change.
+test('an older copy is not a heartbeat of an unreachable upstream', () => {
+  // Guards against taking a lower heartbeat number for a change.
   const {registry, list, open} = makeRegistry();
   const a = makeUpstream('a', {heartbeat: revisionAt(7)});
   list(a, makeUpstream('b'));
