--- a/src/relay/fleet/coordinators.ts
+++ b/src/relay/fleet/coordinators.ts
@@ -3,7 +3,7 @@
  * distribute the list of members.
  *
  * Each host computes them from the members it knows. The order depends only on
- * host ids, so hosts that know the same members always agree.
+ * host ids, so hosts that know the same members agree.
  */
 
 import {hashText} from '../../core/hash_text.js';
--- a/src/relay/fleet/direct_peers.ts
+++ b/src/relay/fleet/direct_peers.ts
@@ -23,13 +23,13 @@
 
 export interface DirectPeers {
   set(peer: DirectPeer): void;
-  /** Undefined once the peer has been declared silent. */
+  /** Undefined once the peer has been marked as silent. */
   get(hostId: string): DirectPeer | undefined;
-  /** The last record of the peer, even if it has been declared silent. */
+  /** The last record of the peer, even if it has been marked as silent. */
   getLast(hostId: string): DirectPeer | undefined;
   live(): readonly DirectPeer[];
   silentMs(peer: DirectPeer): number;
-  /** Declares the peers that match silent, and returns them. */
+  /** Marks the peers that match as silent, and returns them. */
   declareSilent(isSilent: (peer: DirectPeer) => boolean): readonly DirectPeer[];
   /** This host was suspended and its peers were not. */
   noteSuspension(durationMs: number): void;
--- a/src/relay/fleet/owners.ts
+++ b/src/relay/fleet/owners.ts
@@ -37,13 +37,12 @@
   topic: string,
   host: OwnerRankingHost,
 ): (key: string) => readonly string[] {
-  let rankedCandidates: readonly string[] | undefined;
+  let rankedFor: readonly string[] | undefined;
   let orders: BoundedMap<readonly string[]> = createBoundedMap(MAX_CACHED_KEYS);
   return key => {
     const candidates = host.candidates();
-    if (candidates !== rankedCandidates)
-      orders = createBoundedMap(MAX_CACHED_KEYS);
-    rankedCandidates = candidates;
+    if (candidates !== rankedFor) orders = createBoundedMap(MAX_CACHED_KEYS);
+    rankedFor = candidates;
     const order = orders.get(key) ?? rankOwners(topic, key, candidates);
     if (!orders.has(key)) orders.set(key, order);
     return order;
--- a/src/relay/fleet/peer_exchange_types.ts
+++ b/src/relay/fleet/peer_exchange_types.ts
@@ -19,7 +19,7 @@
  */
 export type ChangeReach = 'near' | 'coordinators' | 'all';
 
-/** The host's own fields of its member record, except its id and addresses. */
+/** The fields of this host's member record that the relay supplies. */
 export interface OwnState {
   readonly state: HostState;
   readonly callerAddress: string;
--- a/src/relay/store/upstream_registry.ts
+++ b/src/relay/store/upstream_registry.ts
@@ -151,7 +151,7 @@
   let byService = new Map<string, Upstream[]>();
   const outage = createListOutage();
   let digest = 0;
-  let leftOutCount = 0;
+  let rejectedCount = 0;
   let rejectedLoggedAtMs = Number.NEGATIVE_INFINITY;
   const deltas = createDeltaLog(clock);
   const departures = createDepartures(clock);
@@ -258,7 +258,7 @@
   }
 
   function noteRejected(revision: StoreRevision, origin: UpstreamOrigin): void {
-    leftOutCount++;
+    rejectedCount++;
     const nowMs = clock.nowMs();
     if (nowMs - rejectedLoggedAtMs < REJECTED_LOG_INTERVAL_MS) return;
     rejectedLoggedAtMs = nowMs;
@@ -266,7 +266,7 @@
       revision: formatRevision(revision),
       known: formatRevision(registry.revision()),
       origin,
-      leftOut: leftOutCount,
+      leftOut: rejectedCount,
     });
   }
 
@@ -416,7 +416,7 @@
       ...departures.heldBack(),
     ],
     hasUnreachable: () => unreachableRecords.size > 0,
-    leftOutCount: () => leftOutCount,
+    leftOutCount: () => rejectedCount,
     keptCount: () => keptIds.size,
     revision: () => last?.revision ?? NO_REVISION,
     digest: () => digest,
--- a/tests/relay/fleet/many_hosts_test.ts
+++ b/tests/relay/fleet/many_hosts_test.ts
@@ -231,7 +231,7 @@
   // Guards against control traffic that grows with the deployment. With
   // hundreds of hosts, most of their time and bandwidth went into messages
   // without changes.
-  const costs: Array<{sent: number; bytes: number; heard: number}> = [];
+  const costs: Array<{sent: number; bytes: number; received: number}> = [];
   for (const count of [30, 195]) {
     const {fleet, hosts} = await makeSettled(count);
     const measured = followersOf(hosts).slice(0, 20);
@@ -250,13 +250,13 @@
     costs.push({
       sent: (after.sent - before.sent) / hostSeconds,
       bytes: (after.bytes - before.bytes) / hostSeconds,
-      heard: (after.heard - before.heard) / hostSeconds,
+      received: (after.heard - before.heard) / hostSeconds,
     });
   }
   const [few, many] = costs;
   const text = JSON.stringify(costs);
   assert.ok(many.sent <= 1.1 * few.sent, text);
-  assert.ok(many.heard <= 1.1 * few.heard, text);
+  assert.ok(many.received <= 1.1 * few.received, text);
   assert.ok(many.bytes <= 1.1 * few.bytes, text);
   assert.ok(many.bytes <= MAX_BYTES_PER_S, text);
 });
