--- a/src/relay/accounts/account_admission.ts
+++ b/src/relay/accounts/account_admission.ts
@@ -1,7 +1,7 @@
 /**
- * Decides whether a caller's key lets its request in: the key has to belong to
- * a client account, the configuration that says so has to be recent enough, and
- * the account must not be over its rate limit.
+ * Authenticates a request by its key and applies the rate limit of its client
+ * account. The key must belong to an account in a configuration that is recent
+ * enough, and the account must be within its rate limit.
  */
 
 import type {ClientAccount, Route} from '../../core/routing_types.js';
@@ -18,25 +18,26 @@
   readonly metrics: RelayMetrics;
   readonly freshness: ConfigurationFreshness;
   readonly limiter: AccountLimiter;
-  /** Of the configuration in force. */
+  /** Returns the accounts of the configuration in force. */
   accounts(): AccountTable;
 }
 
 export interface AccountAdmissionOptions {
   /**
-   * A withdrawn key stops working everywhere within this time of the
-   * withdrawal; undefined where hosts out of touch may go on.
+   * Maximum time for which a key works on any host after its withdrawal.
+   * Undefined if hosts without a current configuration may go on accepting
+   * keys.
    */
   readonly keyWithdrawalMs?: number;
 }
 
-/** A request that may go on, for its account where there is one. */
+/** The request is accepted. */
 export interface AdmittedAccount {
   readonly kind: 'admitted';
   readonly account?: ClientAccount;
-  /** The request went to no upstream: its cost is not counted. */
-  giveBack(): void;
-  /** Whether the key was withdrawn since. */
+  /** Returns the cost of a request that was sent to no upstream. */
+  refund(): void;
+  /** Returns whether the key was withdrawn after the request was admitted. */
   isWithdrawn(): boolean;
 }
 
@@ -49,16 +50,19 @@
 export type AccountAdmissionOutcome = AdmittedAccount | RefusedAccount;
 
 export interface AccountAdmission {
-  /** A promise only where a key is not known here, or not yet. */
+  /**
+   * Returns a promise only if the key is unknown to this host or the owner of
+   * the account's bucket has to be asked.
+   */
   admit(
     request: RelayRequest,
     route: Route,
   ): AccountAdmissionOutcome | Promise<AccountAdmissionOutcome>;
 }
 
-/** Left of the bound on withdrawals for the way of a request to this host. */
+/** Part of `keyWithdrawalMs` that is reserved for a request's network delay. */
 const WITHDRAWAL_MARGIN_MS = 250;
-/** The configuration is read, or confirmed by peers, within this time. */
+/** Hosts read the configuration, or confirm it with peers, within this time. */
 const CONFIRM_TIMEOUT_MS = 1_500;
 const UNCONFIRMED_RETRY_MS = 500;
 
@@ -69,12 +73,12 @@
   options: AccountAdmissionOptions,
 ): AccountAdmission {
   const {log, metrics, freshness, limiter} = host;
-  const mostAgeMs =
+  const maxAgeMs =
     options.keyWithdrawalMs === undefined
       ? Number.POSITIVE_INFINITY
       : options.keyWithdrawalMs - WITHDRAWAL_MARGIN_MS;
 
-  const find = (request: RelayRequest) =>
+  const findAccount = (request: RelayRequest) =>
     request.keyDigest === undefined
       ? undefined
       : host.accounts().findByKey(request.keyDigest);
@@ -89,29 +93,29 @@
     return {kind: 'refused', error, account};
   }
 
-  function unconfirmed(
+  function refuseUnconfirmed(
     request: RelayRequest,
     account?: ClientAccount,
   ): RefusedAccount {
     log.warn('Configuration too old for a key.', {
       request: request.requestId,
       account: account?.name,
-      ageMs: roundAge(freshness.ageMs()),
+      ageMs: toFiniteMs(freshness.ageMs()),
     });
-    const detail = 'This entry cannot tell whether the key is valid.';
+    const detail = 'This entry cannot verify the key at present.';
     const retryAfterMs = UNCONFIRMED_RETRY_MS;
     const kind = 'configuration-unconfirmed';
     return refuse({kind, detail, retryAfterMs}, account);
   }
 
-  /** A key may have come with a version that is not yet here. */
+  /** Waits for a newer configuration version, which may contain the key. */
   async function admitUnknown(
     request: RelayRequest,
   ): Promise<AccountAdmissionOutcome> {
     const isConfirmed = await freshness.confirmNow(CONFIRM_TIMEOUT_MS);
-    const account = find(request);
+    const account = findAccount(request);
     if (account) return admitKnown(request, account);
-    if (!isConfirmed) return unconfirmed(request);
+    if (!isConfirmed) return refuseUnconfirmed(request);
     const detail = 'No client account has this key.';
     return refuse({kind: 'unauthenticated', detail});
   }
@@ -120,27 +124,29 @@
     request: RelayRequest,
     account: ClientAccount,
   ): AccountAdmissionOutcome | Promise<AccountAdmissionOutcome> {
-    if (!(freshness.ageMs() <= mostAgeMs)) {
-      return unconfirmed(request, account);
+    if (!(freshness.ageMs() <= maxAgeMs)) {
+      return refuseUnconfirmed(request, account);
     }
     const {name, quota} = account;
-    const isWithdrawn = () => find(request)?.name !== name;
+    const isWithdrawn = () => findAccount(request)?.name !== name;
     if (!quota) {
-      return {kind: 'admitted', account, giveBack: doNothing, isWithdrawn};
+      return {kind: 'admitted', account, refund: doNothing, isWithdrawn};
     }
     const costUnits = costOf(quota, request.prompt);
-    const settle = (verdict: LimitVerdict): AccountAdmissionOutcome => {
+    const toOutcome = (verdict: LimitVerdict): AccountAdmissionOutcome => {
       if (verdict.kind === 'limited') {
-        return refuseOver(request, account, costUnits, verdict);
+        return refuseOverLimit(request, account, costUnits, verdict);
       }
-      const giveBack = () => limiter.giveBack(name, costUnits);
-      return {kind: 'admitted', account, giveBack, isWithdrawn};
+      const refund = () => limiter.refund(name, costUnits);
+      return {kind: 'admitted', account, refund, isWithdrawn};
     };
     const verdict = limiter.take(name, quota, costUnits);
-    return verdict instanceof Promise ? verdict.then(settle) : settle(verdict);
+    return verdict instanceof Promise
+      ? verdict.then(toOutcome)
+      : toOutcome(verdict);
   }
 
-  function refuseOver(
+  function refuseOverLimit(
     request: RelayRequest,
     account: ClientAccount,
     costUnits: number,
@@ -162,18 +168,18 @@
 
   return {
     admit(request, route) {
-      const isOpen = host.accounts().isEmpty || route.isPublic;
-      const account = find(request);
-      if (isOpen) {
+      const needsNoKey = host.accounts().isEmpty || route.isPublic;
+      const account = findAccount(request);
+      if (needsNoKey) {
         const isWithdrawn = () => false;
-        return {kind: 'admitted', account, giveBack: doNothing, isWithdrawn};
+        return {kind: 'admitted', account, refund: doNothing, isWithdrawn};
       }
       return account ? admitKnown(request, account) : admitUnknown(request);
     },
   };
 }
 
-/** Infinite ages have no place in a log line. */
-function roundAge(ageMs: number): number | undefined {
+/** Returns undefined for an infinite age, which a log line can't show. */
+function toFiniteMs(ageMs: number): number | undefined {
   return Number.isFinite(ageMs) ? Math.round(ageMs) : undefined;
 }
--- a/src/relay/accounts/account_limiter.ts
+++ b/src/relay/accounts/account_limiter.ts
@@ -1,26 +1,26 @@
 /**
- * Holds client accounts to their rate limits, which count what all hosts
- * together let through. Nothing waits for a place in a bucket: a request is let
- * through or refused at once, by what this host knows of all of them.
+ * Enforces the rate limits of client accounts. A limit covers the requests that
+ * all hosts admit together. Requests aren't queued: each is admitted or refused
+ * by the best information that this host has about the account's bucket.
  */
 
 import type {AccountQuota} from '../../core/routing_types.js';
 import type {Clock} from '../../ports/clock.js';
 import type {Random} from '../../ports/random.js';
 import type {AskClient} from '../fleet/ask_client.js';
-import type {QuotaAnswer, QuotaAsk} from './quota_messages.js';
+import type {QuotaReply, QuotaRequest} from './quota_messages.js';
 import {
-  fittingShare,
+  admissibleShare,
   quotaRetryAfterMs,
   type AccountLevel,
 } from './quota_rules.js';
 import type {
-  SpendingHost,
+  HostIncarnation,
   SpendingLedger,
   SpendingRecord,
 } from './spending_ledger.js';
 
-/** What a refusal goes by, for the log. */
+/** The information that a refusal is based on, for the log. */
 export type LimitSource = 'owner' | 'ledger' | 'coordinator' | 'own-share';
 
 export type LimitVerdict =
@@ -30,7 +30,7 @@
       readonly retryAfterMs: number;
       readonly levelUnits: number;
       readonly source: LimitSource;
-      /** Since a coordinator told the level. */
+      /** Time since a coordinator sent the level. */
       readonly ageMs: number;
     };
 
@@ -41,30 +41,30 @@
     quota: AccountQuota,
     costUnits: number,
   ): LimitVerdict | Promise<LimitVerdict>;
-  /** The request went to no upstream after all. */
-  giveBack(account: string, costUnits: number): void;
-  /** What this host did, for its peers. */
+  /** Returns the cost of a request that was sent to no upstream. */
+  refund(account: string, costUnits: number): void;
+  /** Returns the totals of this host, which its peers need. */
   spending(): readonly SpendingRecord[];
-  /** A coordinator told which accounts are near their limit. */
-  hear(coordinatorId: string, levels: readonly AccountLevel[]): void;
+  /** Stores the accounts near their limit that a coordinator sent. */
+  applyLevels(coordinatorId: string, levels: readonly AccountLevel[]): void;
 }
 
 export interface AccountLimiterHost {
   readonly clock: Clock;
   readonly random: Random;
   readonly ledger: SpendingLedger;
-  self(): SpendingHost;
-  readonly client: Pick<AskClient<QuotaAsk, QuotaAnswer>, 'ask'>;
-  /** The host that keeps the account's bucket, if one is known. */
+  self(): HostIncarnation;
+  readonly client: Pick<AskClient<QuotaRequest, QuotaReply>, 'ask'>;
+  /** Returns the host that owns the account's bucket, if one is known. */
   ownerOf(account: string): string | undefined;
-  /** Whether this host hears what all others let through. */
-  isHearingAll(): boolean;
-  /** Hosts that share the limits, this one among them. */
+  /** Returns whether this host receives the spending of all other hosts. */
+  hasAllSpending(): boolean;
+  /** Returns the number of hosts that share the limits, including this one. */
   hostCount(): number;
 }
 
-/** Coordinators repeat their word twice a second; some of it is lost. */
-const WORD_VALID_MS = 2_000;
+/** Coordinators send the levels twice a second; some datagrams are lost. */
+const LEVELS_VALID_MS = 2_000;
 const MS_PER_SECOND = 1_000;
 
 interface OwnTotals {
@@ -78,14 +78,14 @@
   updatedAtMs: number;
 }
 
-interface Word {
+interface ReportedLevels {
   readonly levels: ReadonlyMap<string, AccountLevel>;
   readonly heardAtMs: number;
 }
 
-/** What this host knows of an account's bucket. */
+/** The level of an account's bucket as far as this host knows it. */
 interface KnownLevel {
-  /** Undefined where the account is far from its limit. */
+  /** Undefined if the account isn't near its limit. */
   readonly level?: AccountLevel;
   readonly source: LimitSource;
   readonly ageMs: number;
@@ -95,7 +95,7 @@
   const {clock, random, ledger} = host;
   const totals = new Map<string, OwnTotals>();
   const ownShares = new Map<string, OwnShare>();
-  const words = new Map<string, Word>();
+  const levelsByCoordinator = new Map<string, ReportedLevels>();
 
   function totalsOf(account: string): OwnTotals {
     const known = totals.get(account) ?? {
@@ -115,51 +115,59 @@
       returnedUnits: Math.round(own.returnedUnits),
     }));
 
-  /** The strictest of what coordinators say: one may not have heard all yet. */
-  function findTold(
+  /**
+   * Returns the strictest of the coordinators' levels, since one of them may
+   * not have received the spending of all hosts yet.
+   */
+  function findReportedLevel(
     account: string,
     quota: AccountQuota,
   ): KnownLevel | undefined {
     const nowMs = clock.nowMs();
     const source = 'coordinator';
-    let told: KnownLevel | undefined;
-    for (const [coordinatorId, {levels, heardAtMs}] of words) {
+    let strictest: KnownLevel | undefined;
+    for (const [coordinatorId, {levels, heardAtMs}] of levelsByCoordinator) {
       const ageMs = nowMs - heardAtMs;
-      if (ageMs >= WORD_VALID_MS) {
-        words.delete(coordinatorId);
+      if (ageMs >= LEVELS_VALID_MS) {
+        levelsByCoordinator.delete(coordinatorId);
         continue;
       }
       const level = levels.get(account);
       const isStricter =
         level &&
-        (!told?.level ||
-          fittingShare(level, quota) < fittingShare(told.level, quota));
-      if (!told || isStricter) told = {level, source, ageMs};
+        (!strictest?.level ||
+          admissibleShare(level, quota) <
+            admissibleShare(strictest.level, quota));
+      if (!strictest || isStricter) strictest = {level, source, ageMs};
     }
-    return told;
+    return strictest;
   }
 
-  /** For a host that nobody tells the level: an even share of the limit. */
-  function takeOwnShare(
+  /**
+   * Applies an even share of the limit, for a host that has no level from the
+   * ledger or from a coordinator.
+   */
+  function takeFromOwnShare(
     account: string,
     quota: AccountQuota,
     costUnits: number,
   ): LimitVerdict {
     const nowMs = clock.nowMs();
     const unitsPerS = quota.unitsPerS / host.hostCount();
-    const mostUnits = quota.burstUnits / host.hostCount();
+    const capacityUnits = quota.burstUnits / host.hostCount();
     const share = ownShares.get(account) ?? {
-      levelUnits: mostUnits,
+      levelUnits: capacityUnits,
       updatedAtMs: nowMs,
     };
     ownShares.set(account, share);
     const elapsedMs = nowMs - share.updatedAtMs;
     share.levelUnits = Math.min(
-      mostUnits,
+      capacityUnits,
       share.levelUnits + (unitsPerS * elapsedMs) / MS_PER_SECOND,
     );
     share.updatedAtMs = nowMs;
-    // A share of a burst is often less than one request: it may be overdrawn.
+    // The share of a burst is often smaller than one request, so the bucket may
+    // go below zero.
     if (share.levelUnits > 0) {
       share.levelUnits -= costUnits;
       return {kind: 'allowed'};
@@ -180,19 +188,19 @@
     return {kind: 'limited', retryAfterMs, levelUnits, source, ageMs};
   }
 
-  /** By the share of all requests that fits, for want of the owner's word. */
-  function decideByShare(
+  /** Admits a random share of the requests when no owner has decided. */
+  function admitByShare(
     {level, source, ageMs}: KnownLevel,
     quota: AccountQuota,
     costUnits: number,
   ): LimitVerdict {
     if (!level) return {kind: 'allowed'};
-    const share = fittingShare(level, quota);
+    const share = admissibleShare(level, quota);
     if (share >= 1 || random.nextFloat() < share) return {kind: 'allowed'};
     return refuse(level.levelUnits, source, ageMs, quota, costUnits);
   }
 
-  async function askOwner(
+  async function requestFromOwner(
     owner: string,
     account: string,
     quota: AccountQuota,
@@ -201,17 +209,17 @@
   ): Promise<LimitVerdict> {
     const kind = 'quota-ask';
     const answer = await host.client.ask(owner, {kind, account, costUnits});
-    if (!answer) return decideByShare(known, quota, costUnits);
+    if (!answer) return admitByShare(known, quota, costUnits);
     if (answer.isGranted) return {kind: 'allowed'};
     return refuse(answer.levelUnits, 'owner', 0, quota, costUnits);
   }
 
-  /** Undefined where nobody tells this host anything. */
+  /** Returns undefined if this host has no current information. */
   function findLevel(
     account: string,
     quota: AccountQuota,
   ): KnownLevel | undefined {
-    if (!host.isHearingAll()) return findTold(account, quota);
+    if (!host.hasAllSpending()) return findReportedLevel(account, quota);
     const isNear = ledger.isNearLimit(account);
     const level = isNear ? ledger.level(account) : undefined;
     return {level, source: 'ledger', ageMs: 0};
@@ -223,15 +231,15 @@
     costUnits: number,
   ): LimitVerdict | Promise<LimitVerdict> {
     const known = findLevel(account, quota);
-    if (!known) return takeOwnShare(account, quota, costUnits);
+    if (!known) return takeFromOwnShare(account, quota, costUnits);
     if (!known.level) return {kind: 'allowed'};
     const owner = host.ownerOf(account);
     return owner === undefined
-      ? decideByShare(known, quota, costUnits)
-      : askOwner(owner, account, quota, costUnits, known);
+      ? admitByShare(known, quota, costUnits)
+      : requestFromOwner(owner, account, quota, costUnits, known);
   }
 
-  function count(
+  function countAdmitted(
     verdict: LimitVerdict,
     own: OwnTotals,
     costUnits: number,
@@ -244,20 +252,20 @@
     take(account, quota, costUnits) {
       const own = totalsOf(account);
       own.offeredUnits += costUnits;
-      ledger.hear(host.self(), spending());
+      ledger.record(host.self(), spending());
       const verdict = decide(account, quota, costUnits);
       return verdict instanceof Promise
-        ? verdict.then(each => count(each, own, costUnits))
-        : count(verdict, own, costUnits);
+        ? verdict.then(each => countAdmitted(each, own, costUnits))
+        : countAdmitted(verdict, own, costUnits);
     },
-    giveBack(account, costUnits) {
+    refund(account, costUnits) {
       totalsOf(account).returnedUnits += costUnits;
       const share = ownShares.get(account);
       if (share) share.levelUnits += costUnits;
     },
     spending,
-    hear(coordinatorId, levels) {
-      words.set(coordinatorId, {
+    applyLevels(coordinatorId, levels) {
+      levelsByCoordinator.set(coordinatorId, {
         levels: new Map(levels.map(level => [level.account, level])),
         heardAtMs: clock.nowMs(),
       });
--- a/src/relay/accounts/client_account.ts
+++ b/src/relay/accounts/client_account.ts
@@ -1,11 +1,11 @@
-/** Look-ups of client accounts, and what their requests cost. */
+/** Looks up client accounts and computes the cost of their requests. */
 
 import type {AccountQuota, ClientAccount} from '../../core/routing_types.js';
 import type {PromptDescription} from '../../ports/relay.js';
 
-/** Accounts made ready for look-ups. */
+/** Client accounts, indexed by name and key. */
 export interface AccountTable {
-  /** Without accounts no key is asked for. */
+  /** If there are no accounts, requests need no key. */
   readonly isEmpty: boolean;
   get(name: string): ClientAccount | undefined;
   findByKey(keyDigest: string): ClientAccount | undefined;
@@ -27,7 +27,7 @@
   };
 }
 
-/** What a request takes from the bucket of its account, in its units. */
+/** Returns the cost of a request in the units of its account's quota. */
 export function costOf(
   quota: AccountQuota,
   prompt: PromptDescription | undefined,
--- a/src/relay/accounts/configuration_freshness.ts
+++ b/src/relay/accounts/configuration_freshness.ts
@@ -1,11 +1,10 @@
 /**
- * Up to which moment this host is sure to have every acknowledged version of
- * the configuration in force.
+ * Tracks the time up to which this host has every acknowledged configuration
+ * version in force.
  *
- * Guards against a withdrawn key that goes on working at a host which the store
- * turns away, or which was frozen, cut off or restarted: such a host cannot
- * tell that it misses a version, so it takes no request with a key once its
- * certainty is older than the bound on a withdrawal.
+ * A host that the store refuses, or that was suspended, partitioned or
+ * restarted, can't detect that it lacks a version and might go on accepting a
+ * withdrawn key. It therefore refuses keys once this time is too long ago.
  */
 
 import {isLaterMoment, type StoreMoment} from '../../core/store_revision.js';
@@ -19,23 +18,23 @@
 
 export interface ConfigurationFreshness {
   /**
-   * Every version acknowledged before this time of the store is in force here;
-   * the store or a peer with no newer version said so.
+   * Records that every version acknowledged before this store time is in force
+   * here, as confirmed by the store or by a peer without a newer version.
    */
   noteCompleteUntil(moment: StoreMoment): void;
-  /** For peers; undefined while nothing is known. */
+  /** Returns the latest confirmed store time, if any, to share with peers. */
   completeUntil(): StoreMoment | undefined;
-  /** For how long versions may have been missed; infinite if not known. */
+  /** Returns the time since the last confirmation; infinite without one. */
   ageMs(): number;
   /**
-   * Resolves with whether every version acknowledged by now is in force,
-   * waiting up to `timeoutMs` for the word of the store or of a peer.
+   * Resolves to true once every version acknowledged before the call is in
+   * force, or to false if no store or peer confirms this within `timeoutMs`.
    */
   confirmNow(timeoutMs: number): Promise<boolean>;
 }
 
-/** How often a request that waits for certainty is looked at. */
-const LOOK_EVERY_MS = 50;
+/** Interval at which a waiting request checks for a confirmation. */
+const POLL_INTERVAL_MS = 50;
 
 export function createConfigurationFreshness(
   host: ConfigurationFreshnessHost,
@@ -43,24 +42,26 @@
   const {clock, storeTime} = host;
   let completeUntil: StoreMoment | undefined;
 
-  function confirm(
-    wanted: StoreMoment | undefined,
+  function pollUntilConfirmed(
+    knownTarget: StoreMoment | undefined,
     giveUpAtMs: number,
     resolve: (isConfirmed: boolean) => void,
   ): void {
-    // A host that has just started learns the store's time meanwhile.
-    const until = wanted ?? storeTime.latest();
-    if (until && completeUntil && !isLaterMoment(until, completeUntil)) {
+    // A host that has just started may learn the store's time while it waits.
+    const target = knownTarget ?? storeTime.latest();
+    if (target && completeUntil && !isLaterMoment(target, completeUntil)) {
       return resolve(true);
     }
     if (clock.nowMs() >= giveUpAtMs) return resolve(false);
-    clock.setTimer(LOOK_EVERY_MS, () => confirm(until, giveUpAtMs, resolve));
+    clock.setTimer(POLL_INTERVAL_MS, () =>
+      pollUntilConfirmed(target, giveUpAtMs, resolve),
+    );
   }
 
   return {
     noteCompleteUntil(moment) {
       if (completeUntil && !isLaterMoment(moment, completeUntil)) return;
-      // Of an era whose clock is not known here no age can be told.
+      // The age can't be computed if the clock of the moment's era is unknown.
       if (storeTime.ageMs(moment) === undefined) return;
       completeUntil = moment;
     },
@@ -71,7 +72,11 @@
     },
     confirmNow: timeoutMs =>
       new Promise(resolve =>
-        confirm(storeTime.latest(), clock.nowMs() + timeoutMs, resolve),
+        pollUntilConfirmed(
+          storeTime.latest(),
+          clock.nowMs() + timeoutMs,
+          resolve,
+        ),
       ),
   };
 }
--- a/src/relay/accounts/quota_messages.ts
+++ b/src/relay/accounts/quota_messages.ts
@@ -1,23 +1,23 @@
-/** What a host and the owner of an account's bucket tell each other. */
+/** Messages between a host and the owner of an account's bucket. */
 
-/** A request of an account that is near its limit. */
-export interface QuotaAsk {
+/** Asks the owner to admit a request of an account that is near its limit. */
+export interface QuotaRequest {
   readonly kind: 'quota-ask';
-  /** New for each ask of the asking host's life. */
+  /** Unique among the requests of the sender's incarnation. */
   readonly askId: number;
   readonly account: string;
   readonly costUnits: number;
 }
 
-export interface QuotaAnswer {
+export interface QuotaReply {
   readonly kind: 'quota-answer';
   readonly askId: number;
   readonly isGranted: boolean;
-  /** What the bucket holds, without what was granted now. */
+  /** Level of the bucket after this grant. */
   readonly levelUnits: number;
 }
 
-export type QuotaMessage = QuotaAsk | QuotaAnswer;
+export type QuotaMessage = QuotaRequest | QuotaReply;
 
 export function isQuotaMessage(message: {
   readonly kind: string;
--- a/src/relay/accounts/quota_desk.ts
+++ b/src/relay/accounts/quota_owner.ts
@@ -1,14 +1,14 @@
-/** What hosts that ask for places in the buckets of this host are told. */
+/** Handles quota requests for buckets that this host owns. */
 
-import type {QuotaAnswer, QuotaAsk} from './quota_messages.js';
+import type {QuotaReply, QuotaRequest} from './quota_messages.js';
 import type {SpendingLedger} from './spending_ledger.js';
 
-export function answerQuotaAsk(
+export function handleQuotaRequest(
   ledger: SpendingLedger,
   fromHostId: string,
-  ask: QuotaAsk,
-): QuotaAnswer {
-  const {askId, account, costUnits} = ask;
+  request: QuotaRequest,
+): QuotaReply {
+  const {askId, account, costUnits} = request;
   const isGranted = ledger.grant(fromHostId, account, costUnits);
   const levelUnits = Math.round(ledger.level(account)?.levelUnits ?? 0);
   return {kind: 'quota-answer', askId, isGranted, levelUnits};
--- a/src/relay/accounts/quota_rules.ts
+++ b/src/relay/accounts/quota_rules.ts
@@ -1,63 +1,71 @@
 /**
- * How much of what an account asks for fits its rate limit. Pure.
+ * Pure rules that compute which share of an account's requests fits its limit.
  *
- * Hosts learn the level of an account's bucket with a delay of a second or so.
- * Were each to let everything through while the level is positive, all would
- * overshoot together and then refuse together. So each lets the same share
- * through, such that all of them together bring the level to zero smoothly.
+ * Hosts learn a bucket's level about a second late. If each admitted everything
+ * while the level is positive, all would overshoot and then refuse in step.
+ * Instead, all admit the same share, which brings the level to zero smoothly.
  */
 
 import type {AccountQuota} from '../../core/routing_types.js';
 
-/** The bucket of one account, as all hosts together see it. */
+/** State of an account's bucket, which all hosts share. */
 export interface AccountLevel {
   readonly account: string;
-  /** Units in the bucket; negative once hosts have let too much through. */
+  /** Units in the bucket; negative if hosts admitted too much. */
   readonly levelUnits: number;
-  /** Units asked for in a second, those refused among them. */
+  /** Units requested per second, including those of refused requests. */
   readonly offeredUnitsPerS: number;
 }
 
 /**
- * What the bucket holds, or owes, is spread over this time. It has to be longer
- * than the delay of what hosts learn, or the share swings up and down.
+ * Time in which the bucket's level, or its deficit, is brought to zero. It must
+ * be longer than the delay with which hosts learn the level, or the admitted
+ * share oscillates.
  */
 const LEVEL_HORIZON_S = 2;
 /**
- * Above this part of a full bucket nothing is refused: requests come in lumps,
- * and what seems too much in one second fits the next.
+ * Above this share of a full bucket nothing is refused. Requests arrive in
+ * bursts, so what exceeds the rate in one second often fits in the next.
  */
-const FREE_LEVEL = 0.25;
-/** Parts of a full bucket and of the rate from which an account is near it. */
-const NEAR_LEVEL = 0.5;
-const NEAR_RATE = 0.9;
+const UNRESTRICTED_LEVEL_SHARE = 0.25;
+/** An account is near its limit below this share of a full bucket. */
+const NEAR_LIMIT_LEVEL_SHARE = 0.5;
+/** An account is near its limit above this share of its rate. */
+const NEAR_LIMIT_RATE_SHARE = 0.9;
 const MIN_RETRY_AFTER_MS = 200;
-/** Refused callers return over this share of the wait, not all at once. */
-const RETURN_SPREAD = 0.5;
+/** Retries are spread over this share of the wait, to avoid a burst. */
+const RETRY_SPREAD_SHARE = 0.5;
 const MS_PER_SECOND = 1_000;
 
-/** The share of requests to let through, 0 to 1; above 1 there is room left. */
-export function fittingShare(level: AccountLevel, quota: AccountQuota): number {
+/** Returns the share of requests to admit; 1 or more means all of them. */
+export function admissibleShare(
+  level: AccountLevel,
+  quota: AccountQuota,
+): number {
   const {levelUnits, offeredUnitsPerS} = level;
-  if (levelUnits >= quota.burstUnits * FREE_LEVEL) {
+  if (levelUnits >= quota.burstUnits * UNRESTRICTED_LEVEL_SHARE) {
     return Number.POSITIVE_INFINITY;
   }
-  const roomPerS = quota.unitsPerS + levelUnits / LEVEL_HORIZON_S;
-  if (offeredUnitsPerS <= 0) return roomPerS > 0 ? Number.POSITIVE_INFINITY : 0;
-  return Math.max(0, roomPerS / offeredUnitsPerS);
+  const admissibleUnitsPerS = quota.unitsPerS + levelUnits / LEVEL_HORIZON_S;
+  if (offeredUnitsPerS <= 0)
+    return admissibleUnitsPerS > 0 ? Number.POSITIVE_INFINITY : 0;
+  return Math.max(0, admissibleUnitsPerS / offeredUnitsPerS);
 }
 
 /**
- * Whether requests of the account have to be counted one by one: the bucket is
- * low, or what is asked for now would soon empty it.
+ * Returns whether each request of the account must be admitted by the bucket's
+ * owner: the bucket is low, or the present rate would soon empty it.
  */
 export function isNearLimit(level: AccountLevel, quota: AccountQuota): boolean {
   const {levelUnits, offeredUnitsPerS} = level;
-  const isLow = levelUnits < quota.burstUnits * NEAR_LEVEL;
-  return isLow || offeredUnitsPerS > quota.unitsPerS * NEAR_RATE;
+  const isLow = levelUnits < quota.burstUnits * NEAR_LIMIT_LEVEL_SHARE;
+  return isLow || offeredUnitsPerS > quota.unitsPerS * NEAR_LIMIT_RATE_SHARE;
 }
 
-/** When the bucket will have as much, with callers spread by `draw`, 0 to 1. */
+/**
+ * Returns the time until the bucket holds `costUnits`. `draw`, from 0 to 1,
+ * spreads the retries of different callers.
+ */
 export function quotaRetryAfterMs(
   levelUnits: number,
   costUnits: number,
@@ -66,6 +74,6 @@
 ): number {
   const missingUnits = Math.max(0, costUnits - levelUnits);
   const waitMs = (missingUnits / quota.unitsPerS) * MS_PER_SECOND;
-  const spreadMs = waitMs * (1 + RETURN_SPREAD * draw);
+  const spreadMs = waitMs * (1 + RETRY_SPREAD_SHARE * draw);
   return Math.max(MIN_RETRY_AFTER_MS, spreadMs);
 }
--- a/src/relay/accounts/relay_accounts.ts
+++ b/src/relay/accounts/relay_accounts.ts
@@ -1,4 +1,4 @@
-/** What holds client accounts to their keys and limits, put together. */
+/** Creates and connects the parts that check account keys and rate limits. */
 
 import type {Clock} from '../../ports/clock.js';
 import type {Logger} from '../../ports/log.js';
@@ -15,8 +15,8 @@
   type AccountAdmissionOptions,
 } from './account_admission.js';
 import {createAccountLimiter} from './account_limiter.js';
-import {answerQuotaAsk} from './quota_desk.js';
-import type {QuotaAnswer, QuotaAsk, QuotaMessage} from './quota_messages.js';
+import {handleQuotaRequest} from './quota_owner.js';
+import type {QuotaReply, QuotaRequest, QuotaMessage} from './quota_messages.js';
 import {
   createConfigurationFreshness,
   type ConfigurationFreshness,
@@ -24,7 +24,7 @@
 import type {AccountLevel} from './quota_rules.js';
 import {
   createSpendingLedger,
-  type SpendingHost,
+  type HostIncarnation,
   type SpendingRecord,
 } from './spending_ledger.js';
 import {createStoreTime, type StoreTime} from './store_time.js';
@@ -35,28 +35,28 @@
   readonly createLogger: (part: string) => Logger;
   readonly metrics: RelayMetrics;
   readonly routing: RoutingState;
-  readonly self: Omit<SpendingHost, 'aliveMs'>;
-  /** Whether this host hears what all others let through. */
-  isHearingAll(): boolean;
-  /** Hosts known, this one among them. */
+  readonly self: Omit<HostIncarnation, 'aliveMs'>;
+  /** Returns whether this host receives the spending of all other hosts. */
+  hasAllSpending(): boolean;
+  /** Returns the number of known hosts, including this one. */
   hostCount(): number;
-  /** Hosts that hear what all let through, in any order. */
-  hearingAll(): readonly string[];
-  tell(hostId: string, message: QuotaMessage): void;
+  /** Returns the hosts that receive the spending of all hosts, in any order. */
+  hostsWithAllSpending(): readonly string[];
+  send(hostId: string, message: QuotaMessage): void;
 }
 
 export interface RelayAccounts {
   readonly admission: AccountAdmission;
   readonly storeTime: StoreTime;
   readonly freshness: ConfigurationFreshness;
-  /** Since this process began. */
+  /** Returns the time since this process started. */
   aliveMs(): number;
-  /** What this host let through, for its peers. */
+  /** Returns the totals of this host, which its peers need. */
   spending(): readonly SpendingRecord[];
-  /** As a coordinator: accounts near their limit, for all. */
+  /** Returns the accounts near their limit, which a coordinator sends to all. */
   nearLimit(): readonly AccountLevel[];
-  heard(peer: Peer): void;
-  told(fromHostId: string, summary: Summary): void;
+  applyPeerState(peer: Peer): void;
+  applySummary(fromHostId: string, summary: Summary): void;
   receive(fromHostId: string, message: QuotaMessage): void;
 }
 
@@ -73,30 +73,31 @@
     clock,
     quotaOf: account => routing.accounts().get(account)?.quota,
   });
-  /** A host that owns the bucket itself is told without a datagram. */
+  /** Delivers a message without a datagram if this host is the receiver. */
   function tell(toHostId: string, message: QuotaMessage): void {
     if (toHostId === self.hostId) receive(self.hostId, message);
-    else host.tell(toHostId, message);
+    else host.send(toHostId, message);
   }
 
   function receive(fromHostId: string, message: QuotaMessage): void {
-    if (message.kind === 'quota-ask') desk.receive(fromHostId, message);
+    if (message.kind === 'quota-ask') responder.receive(fromHostId, message);
     else client.receive(fromHostId, message);
   }
 
-  /** The same at all hosts that know the same ones. */
+  /** Returns the same owner on all hosts that know the same hosts. */
   const ownerOf = (account: string) =>
-    rankOwners('quota', account, host.hearingAll()).at(0);
+    rankOwners('quota', account, host.hostsWithAllSpending()).at(0);
 
   const firstAskId = random.nextInt(FIRST_ASK_IDS);
-  const client = createAskClient<QuotaAsk, QuotaAnswer>({
+  const client = createAskClient<QuotaRequest, QuotaReply>({
     clock,
     firstAskId,
     tell,
   });
-  const desk = createAskDesk<QuotaAsk, QuotaAnswer>({
+  const responder = createAskDesk<QuotaRequest, QuotaReply>({
     clock,
-    decide: (fromHostId, ask) => answerQuotaAsk(ledger, fromHostId, ask),
+    decide: (fromHostId, request) =>
+      handleQuotaRequest(ledger, fromHostId, request),
     tell,
   });
   const limiter = createAccountLimiter({
@@ -106,7 +107,7 @@
     self: () => ({...self, aliveMs: aliveMs()}),
     client,
     ownerOf,
-    isHearingAll: host.isHearingAll,
+    hasAllSpending: host.hasAllSpending,
     hostCount: host.hostCount,
   });
   const admission = createAccountAdmission(
@@ -126,9 +127,9 @@
     spending: limiter.spending,
     aliveMs,
     nearLimit: ledger.nearLimit,
-    heard: peer => ledger.hear(peer, peer.spending),
-    told: (fromHostId, {accountLevels}) =>
-      limiter.hear(fromHostId, accountLevels),
+    applyPeerState: peer => ledger.record(peer, peer.spending),
+    applySummary: (fromHostId, {accountLevels}) =>
+      limiter.applyLevels(fromHostId, accountLevels),
     receive,
   };
 }
--- a/src/relay/accounts/spending_ledger.ts
+++ b/src/relay/accounts/spending_ledger.ts
@@ -1,32 +1,31 @@
 /**
- * The buckets of all accounts, from what all hosts say that they let through.
+ * Keeps the token buckets of all accounts from the spending that hosts report.
  *
- * Hosts tell running totals, so that a lost datagram costs nothing. A ledger
- * that has just begun does not know what was let through a moment ago: its
- * buckets are neither full, which would let a burst through twice, nor empty,
- * which would refuse accounts that keep to their rate.
+ * Hosts report running totals, so a lost datagram loses no units. A new ledger
+ * doesn't know the recent spending. Its buckets start neither full, which would
+ * admit a burst twice, nor empty, which would refuse accounts within their rate.
  */
 
 import type {AccountQuota} from '../../core/routing_types.js';
 import type {Clock} from '../../ports/clock.js';
 import {isNearLimit, type AccountLevel} from './quota_rules.js';
 
-/** What one host did for one account in its present life. */
+/** Totals of one incarnation of a host for one account. */
 export interface SpendingRecord {
   readonly account: string;
-  /** Units of all requests, those refused among them. */
+  /** Units of all requests, including refused ones. */
   readonly offeredUnits: number;
-  /** Units of the requests that were let through. */
+  /** Units of the admitted requests. */
   readonly admittedUnits: number;
-  /** Of these, units of requests that went to no upstream after all. */
+  /** Units of the admitted requests that were sent to no upstream. */
   readonly returnedUnits: number;
 }
 
-/** One life of a host. */
-export interface SpendingHost {
+/** One run of a host's process. */
+export interface HostIncarnation {
   readonly hostId: string;
   readonly incarnation: string;
-  /** Since this life began. */
+  /** Time since this process started. */
   readonly aliveMs: number;
 }
 
@@ -36,33 +35,33 @@
 }
 
 export interface SpendingLedger {
-  hear(host: SpendingHost, records: readonly SpendingRecord[]): void;
+  /** Charges the buckets for the totals that a host reports. */
+  record(host: HostIncarnation, records: readonly SpendingRecord[]): void;
   /**
-   * Takes a place in the bucket for a request of the host, if there is one. The
-   * host's own totals, which count it later, are not charged for it again.
+   * Charges the bucket for one request of the host, if it holds enough units.
+   * The host's totals include the request later and aren't charged for it again.
    */
   grant(hostId: string, account: string, costUnits: number): boolean;
-  /** Undefined for an account without a limit. */
+  /** Returns undefined for an account without a limit. */
   level(account: string): AccountLevel | undefined;
-  /** Whether the account is near its limit. */
   isNearLimit(account: string): boolean;
-  /** Accounts that are near their limit, for hosts that keep no ledger. */
+  /** Returns the accounts near their limit, for hosts without a full ledger. */
   nearLimit(): readonly AccountLevel[];
 }
 
-/** Part of a full bucket that one holds whose past is not known. */
-const FIRST_LEVEL = 0.5;
-/** Requests come in lumps; over this time they are taken for a rate. */
-const OFFERED_MEAN_MS = 1_000;
-/** A host that began its life within this time has recent totals only. */
+/** Share of a full bucket at the start, when past spending is unknown. */
+const INITIAL_LEVEL_SHARE = 0.5;
+/** Time constant for the offered rate; requests arrive in bursts. */
+const OFFERED_DECAY_MS = 1_000;
+/** All totals of a host that started within this time are recent. */
 const NEW_HOST_MS = 3_000;
-/** From when a request is let through until its host tells it, on the mean. */
-const MEAN_DELAY_MS = 300;
+/** Mean time from the admission of a request to its host's report. */
+const MEAN_REPORT_DELAY_MS = 300;
 const MS_PER_SECOND = 1_000;
 
 interface Bucket {
   levelUnits: number;
-  /** Units offered, each fading with `OFFERED_MEAN_MS`. */
+  /** Units offered, with exponential decay over `OFFERED_DECAY_MS`. */
   offeredUnits: number;
   updatedAtMs: number;
 }
@@ -70,11 +69,11 @@
 interface HostTotals {
   readonly incarnation: string;
   readonly byAccount: Map<string, SpendingRecord>;
-  /** By account: units granted that the host's totals do not show yet. */
+  /** Units granted per account that the host's totals don't include yet. */
   readonly granted: Map<string, number>;
 }
 
-const NOTHING: Omit<SpendingRecord, 'account'> = {
+const ZERO_TOTALS: Omit<SpendingRecord, 'account'> = {
   offeredUnits: 0,
   admittedUnits: 0,
   returnedUnits: 0,
@@ -86,35 +85,42 @@
   const totals = new Map<string, HostTotals>();
 
   /**
-   * What hosts have let through and not yet told is still in the bucket. A full
-   * one would lose as much of what it gains meanwhile.
+   * Returns the units at which the bucket is full. Admitted units that no host
+   * has reported yet are still in the bucket. Without an allowance for them, a
+   * full bucket would lose as many units of its refill.
    */
-  function fullUnits({offeredUnits}: Bucket, quota: AccountQuota): number {
-    const offeredUnitsPerS = (offeredUnits * MS_PER_SECOND) / OFFERED_MEAN_MS;
-    const untoldPerS = Math.min(quota.unitsPerS, offeredUnitsPerS);
-    return quota.burstUnits + (untoldPerS * MEAN_DELAY_MS) / MS_PER_SECOND;
+  function capacityOf({offeredUnits}: Bucket, quota: AccountQuota): number {
+    const offeredUnitsPerS = (offeredUnits * MS_PER_SECOND) / OFFERED_DECAY_MS;
+    const unreportedUnitsPerS = Math.min(quota.unitsPerS, offeredUnitsPerS);
+    return (
+      quota.burstUnits +
+      (unreportedUnitsPerS * MEAN_REPORT_DELAY_MS) / MS_PER_SECOND
+    );
   }
 
   function refill(account: string, quota: AccountQuota): Bucket {
     const nowMs = clock.nowMs();
     const bucket = buckets.get(account) ?? {
-      levelUnits: quota.burstUnits * FIRST_LEVEL,
+      levelUnits: quota.burstUnits * INITIAL_LEVEL_SHARE,
       offeredUnits: 0,
       updatedAtMs: nowMs,
     };
     buckets.set(account, bucket);
     const elapsedMs = nowMs - bucket.updatedAtMs;
-    const gained = (quota.unitsPerS * elapsedMs) / MS_PER_SECOND;
-    const mostUnits = fullUnits(bucket, quota);
-    bucket.levelUnits = Math.min(mostUnits, bucket.levelUnits + gained);
-    bucket.offeredUnits *= Math.exp(-elapsedMs / OFFERED_MEAN_MS);
+    const gainedUnits = (quota.unitsPerS * elapsedMs) / MS_PER_SECOND;
+    const capacityUnits = capacityOf(bucket, quota);
+    bucket.levelUnits = Math.min(
+      capacityUnits,
+      bucket.levelUnits + gainedUnits,
+    );
+    bucket.offeredUnits *= Math.exp(-elapsedMs / OFFERED_DECAY_MS);
     bucket.updatedAtMs = nowMs;
     return bucket;
   }
 
   function charge(
     record: SpendingRecord,
-    before: typeof NOTHING,
+    before: typeof ZERO_TOTALS,
     {granted}: HostTotals,
   ): void {
     const {account} = record;
@@ -123,10 +129,13 @@
     const bucket = refill(account, quota);
     const admittedUnits = record.admittedUnits - before.admittedUnits;
     const grantedUnits = granted.get(account) ?? 0;
-    const chargedBefore = Math.max(0, Math.min(grantedUnits, admittedUnits));
-    granted.set(account, grantedUnits - chargedBefore);
+    const alreadyChargedUnits = Math.max(
+      0,
+      Math.min(grantedUnits, admittedUnits),
+    );
+    granted.set(account, grantedUnits - alreadyChargedUnits);
     const returnedUnits = record.returnedUnits - before.returnedUnits;
-    bucket.levelUnits += returnedUnits + chargedBefore - admittedUnits;
+    bucket.levelUnits += returnedUnits + alreadyChargedUnits - admittedUnits;
     bucket.offeredUnits += record.offeredUnits - before.offeredUnits;
   }
 
@@ -134,17 +143,17 @@
     const quota = host.quotaOf(account);
     if (!quota) return undefined;
     const {levelUnits, offeredUnits} = refill(account, quota);
-    const offeredUnitsPerS = (offeredUnits * MS_PER_SECOND) / OFFERED_MEAN_MS;
+    const offeredUnitsPerS = (offeredUnits * MS_PER_SECOND) / OFFERED_DECAY_MS;
     return {account, levelUnits, offeredUnitsPerS};
   }
 
-  function isNear(each: AccountLevel): boolean {
+  function isLevelNearLimit(each: AccountLevel): boolean {
     const quota = host.quotaOf(each.account);
     return !!quota && isNearLimit(each, quota);
   }
 
   return {
-    hear({hostId, incarnation, aliveMs}, records) {
+    record({hostId, incarnation, aliveMs}, records) {
       const known = totals.get(hostId);
       const isKnown = known?.incarnation === incarnation;
       const ofHost: HostTotals = isKnown
@@ -152,11 +161,11 @@
         : {incarnation, byAccount: new Map(), granted: new Map()};
       const {byAccount} = ofHost;
       totals.set(hostId, ofHost);
-      // Who begins to keep a ledger hears of hosts that have run for hours.
-      const isNews = isKnown || aliveMs < NEW_HOST_MS;
+      // A new ledger receives totals of hosts that have run for hours.
+      const isRecent = isKnown || aliveMs < NEW_HOST_MS;
       for (const record of records) {
         const before = byAccount.get(record.account);
-        if (isNews) charge(record, before ?? NOTHING, ofHost);
+        if (isRecent) charge(record, before ?? ZERO_TOTALS, ofHost);
         byAccount.set(record.account, record);
       }
     },
@@ -173,12 +182,12 @@
     level,
     isNearLimit(account) {
       const known = level(account);
-      return known !== undefined && isNear(known);
+      return known !== undefined && isLevelNearLimit(known);
     },
     nearLimit: () =>
       [...buckets.keys()]
         .map(level)
         .filter(each => each !== undefined)
-        .filter(isNear),
+        .filter(isLevelNearLimit),
   };
 }
--- a/src/relay/accounts/store_time.ts
+++ b/src/relay/accounts/store_time.ts
@@ -1,35 +1,35 @@
 /**
- * An upper bound on the time of the store's own clock, from its answers.
+ * Computes an upper bound on the current time of the store's clock.
  *
- * Ages of what the store confirmed are safe only on one clock: word of a peer
- * may lie in a socket while this process is frozen, or in the memory of a peer
- * that was, and an age that counts from its receipt is then too young.
+ * The age of what the store confirmed must be measured on the store's clock. A
+ * peer's message may wait in a socket while this process is suspended, or in a
+ * suspended peer, so an age counted from its receipt may be too low.
  */
 
 import type {StoreMoment} from '../../core/store_revision.js';
 import type {Clock} from '../../ports/clock.js';
 
 export interface StoreTime {
-  /** The store told its time in answer to a call sent at `sentAt`. */
+  /** Records the store's time from its answer to a call sent at `sentAt`. */
   note(sentAt: LocalInstant, storeNow: StoreMoment): void;
   /**
-   * The present at the latest, on the clock of the newest era; undefined until
-   * the store, or a peer for it, has told its time.
+   * Returns an upper bound on the current time, on the clock of the newest era.
+   * Undefined until the store's time is known, from the store or from a peer.
    */
   latest(): StoreMoment | undefined;
   /**
-   * How long ago that was at most; undefined for a moment of an era in which
-   * this host has not heard the time.
+   * Returns an upper bound on the moment's age, or undefined if the time of its
+   * era is unknown.
    */
   ageMs(moment: StoreMoment): number | undefined;
-  /** The present, to be handed to `note` with the answer to a call. */
+  /** Returns the local time, to pass to `note` with the answer to a call. */
   now(): LocalInstant;
 }
 
 /**
- * One moment on both clocks of this host. The steady one may leave out the
- * time of a suspension, and the time of day may jump back; the larger elapsed
- * time of the two is never too short by either alone.
+ * One moment on both clocks of this host. The steady clock may omit the time of
+ * a suspension, and the wall clock may jump back, so the larger elapsed time of
+ * the two is used.
  */
 export interface LocalInstant {
   readonly steadyMs: number;
@@ -42,7 +42,7 @@
 }
 
 export function createStoreTime(clock: Clock): StoreTime {
-  /** By era, since the clocks of two eras have nothing in common. */
+  /** Calibrations by era; the clocks of two eras are unrelated. */
   const calibrations = new Map<number, Calibration>();
   let newestEra = 0;
 
@@ -51,8 +51,11 @@
     wallMs: clock.wallMs(),
   });
 
-  /** The store answered after the call was sent, so its time is no later. */
-  function latestBy({sentAt, storeNowMs}: Calibration): number {
+  /**
+   * Assumes that the store read its clock when the call was sent. It read it
+   * later, so the result is never too low.
+   */
+  function upperBoundMs({sentAt, storeNowMs}: Calibration): number {
     const {steadyMs, wallMs} = now();
     const elapsedMs = Math.max(
       steadyMs - sentAt.steadyMs,
@@ -66,19 +69,21 @@
     note(sentAt, {era, storeMs: storeNowMs}) {
       const fresh = {sentAt, storeNowMs};
       const known = calibrations.get(era);
-      const knownMs = known && latestBy(known);
-      const isTighter = knownMs === undefined || latestBy(fresh) < knownMs;
+      const knownMs = known && upperBoundMs(known);
+      const isTighter = knownMs === undefined || upperBoundMs(fresh) < knownMs;
       const isRefuted = knownMs !== undefined && knownMs < storeNowMs;
       if (isTighter || isRefuted) calibrations.set(era, fresh);
       newestEra = Math.max(newestEra, era);
     },
     latest() {
       const calibration = calibrations.get(newestEra);
-      return calibration && {era: newestEra, storeMs: latestBy(calibration)};
+      return (
+        calibration && {era: newestEra, storeMs: upperBoundMs(calibration)}
+      );
     },
     ageMs({era, storeMs}) {
       const calibration = calibrations.get(era);
-      return calibration && Math.max(0, latestBy(calibration) - storeMs);
+      return calibration && Math.max(0, upperBoundMs(calibration) - storeMs);
     },
   };
 }
--- a/src/relay/relay.ts
+++ b/src/relay/relay.ts
@@ -91,7 +91,7 @@
       ? streams.run(job)
       : plain.run(job));
     const wasSent = outcome.upstreams.length > 0 || outcome.wasRead;
-    if (outcome.end !== 'answered' && !wasSent) job.admitted.giveBack();
+    if (outcome.end !== 'answered' && !wasSent) job.admitted.refund();
     return outcome;
   }
 
--- a/src/relay/relay_process.ts
+++ b/src/relay/relay_process.ts
@@ -112,13 +112,13 @@
       metrics,
       routing,
       self,
-      isHearingAll: () => peers.isMesh() || peers.isCoordinator(),
+      hasAllSpending: () => peers.isMesh() || peers.isCoordinator(),
       hostCount: () => peers.knownCount() + 1,
-      hearingAll: () =>
+      hostsWithAllSpending: () =>
         peers.isMesh()
           ? peers.members().map(({hostId}) => hostId)
           : peers.coordinatorIds(),
-      tell: (hostId, message) => peers.tell(hostId, message),
+      send: (hostId, message) => peers.tell(hostId, message),
     },
     settings,
   );
@@ -220,7 +220,7 @@
       }),
       onPeer(peer) {
         placement.heard(peer);
-        accounts.heard(peer);
+        accounts.applyPeerState(peer);
         watch.hear(peer);
         crashes.learn(peer.losses);
         backpressure.limits.hear(peer.limits ?? [], 'peer');
@@ -230,7 +230,7 @@
       },
       onSummary(fromHostId, summary) {
         placement.told(fromHostId, summary);
-        accounts.told(fromHostId, summary);
+        accounts.applySummary(fromHostId, summary);
         watch.hear(summary);
         crashes.learn(summary.losses);
         backpressure.limits.hear(summary.limits ?? [], 'relayed');
--- a/tests/relay/accounts/configuration_freshness_test.ts
+++ b/tests/relay/accounts/configuration_freshness_test.ts
@@ -8,8 +8,8 @@
 
 const SEEDS = Array.from({length: 20}, (_, i) => i + 1);
 
-/** What was lost is written again within this time of the store's return. */
-const REWRITTEN_MS = 2_000;
+/** Lost versions are rewritten within this time after the store's return. */
+const REWRITE_MS = 2_000;
 
 const storeAt = (storeMs: number, era = 0) => ({era, storeMs});
 
@@ -19,7 +19,7 @@
   let wallStepMs = 0;
   const host = {
     ...clock,
-    // The steady clock leaves out a suspension; the time of day does not.
+    // The steady clock omits a suspension; the wall clock doesn't.
     nowMs: () => clock.nowMs() - suspendedMs,
     wallMs: () => clock.nowMs() + wallStepMs,
   };
@@ -44,8 +44,8 @@
   };
 }
 
-test('word that lay in a socket while the host was frozen is no fresh word', async () => {
-  // Guards against an age that counts from the receipt of a datagram.
+test('a message that waited in a socket during a suspension keeps its age', async () => {
+  // Guards against an age that is counted from the receipt of a datagram.
   const {clock, freshness, readStore} = makeHost();
   readStore();
   const completeUntilMs = clock.nowMs();
@@ -55,14 +55,14 @@
 });
 
 test('a suspension counts towards the age', async () => {
-  // Guards against a steady clock that stands still while the host does.
+  // Guards against a steady clock that stops while the host is suspended.
   const {freshness, readStore, suspend} = makeHost();
   readStore();
   await suspend(7_000);
   assert.equal(freshness.ageMs(), 7_000);
 });
 
-test('a time of day that jumps back makes nothing younger', async () => {
+test('a wall clock that jumps back does not reduce the age', async () => {
   const {clock, freshness, readStore, stepWall} = makeHost();
   readStore();
   stepWall(-60_000);
@@ -70,7 +70,7 @@
   assert.equal(freshness.ageMs(), 3_000);
 });
 
-test('a time of day that jumps forward is made good by the next read', async () => {
+test('the next read corrects the age after the wall clock jumped forward', async () => {
   const {clock, freshness, readStore, stepWall} = makeHost();
   readStore();
   stepWall(60_000);
@@ -80,7 +80,7 @@
   assert.equal(freshness.ageMs(), 0);
 });
 
-test('a host that has not heard of the store is sure of nothing', async () => {
+test("a host without the store's time confirms nothing", async () => {
   const {clock, freshness} = makeHost();
   assert.equal(freshness.ageMs(), Number.POSITIVE_INFINITY);
   const confirmed = freshness.confirmNow(500);
@@ -88,9 +88,10 @@
   assert.equal(await confirmed, false);
 });
 
-test('what a host is sure of is never more than it has', async () => {
-  // Guards against a withdrawn key at any host: cut off from the store or from
-  // changes, handed a version by a peer, or told with any delay.
+test('every version acknowledged before the confirmed time is in force', async () => {
+  // Guards against a withdrawn key that a host accepts because it is cut off
+  // from the store or from changes, gets a version from a peer, or receives
+  // messages late.
   for (const seed of SEEDS) {
     const random = createSeededRandom(seed);
     const hearMs = 3 + random.nextInt(900);
@@ -131,8 +132,8 @@
   }
 });
 
-test('hosts that the store turns away stay sure by the word of the others', async () => {
-  // Guards against refusing all callers of an outage that is not one for all.
+test('peers confirm the configuration of hosts that the store refuses', async () => {
+  // Guards against hosts that refuse all callers in a partial outage.
   const {clock, hosts, cut} = makeSite(9);
   await clock.advance(3_000);
   for (const {hostId} of hosts.slice(0, 3)) cut.add(hostId);
@@ -144,8 +145,9 @@
   }
 });
 
-test('what a host is sure of keeps its age where the clock of the store goes back', async () => {
-  // Guards against a withdrawn key that works for as long as the clock went back.
+test('the age is kept when the clock of the store goes back', async () => {
+  // Guards against a withdrawn key that works longer by the time that the clock
+  // went back.
   const {clock, storeTime, freshness, readStore} = makeHost();
   readStore();
   await clock.advance(2_000);
@@ -155,8 +157,8 @@
   assert.equal(freshness.ageMs(), 2_500);
 });
 
-test('what a host is sure of is never more than it has though the store loses versions', async () => {
-  // Guards against a withdrawn key that the older copy of the store still has.
+test('every version acknowledged before the confirmed time is in force though the store loses versions', async () => {
+  // Guards against a withdrawn key that an older copy of the store contains.
   for (const seed of SEEDS) {
     const random = createSeededRandom(seed);
     const site = makeSite(5, {hearMs: 3, announceEveryMs: 250});
@@ -183,8 +185,8 @@
           shifts.push(store.clockShiftMs);
           site.restore(copy);
           store.isDown = false;
-          // The operator finds its version lost and writes it again.
-          clock.setTimer(random.nextInt(REWRITTEN_MS), () =>
+          // The operator notices the lost version and writes it again.
+          clock.setTimer(random.nextInt(REWRITE_MS), () =>
             site.configure(acknowledged.at(-1)!.version),
           );
           break;
--- a/tests/relay/accounts/quota_fleet.ts
+++ b/tests/relay/accounts/quota_fleet.ts
@@ -1,6 +1,7 @@
 /**
- * Hosts that hold one account to its limit together, in virtual time: three of
- * them coordinate, datagrams take time and may be lost, and hosts may restart.
+ * Simulates hosts that enforce the limit of one account, in virtual time. Three
+ * hosts are coordinators, datagrams are delayed and may be lost, and hosts may
+ * restart.
  */
 
 import type {AccountQuota} from '../../../src/core/routing_types.js';
@@ -13,22 +14,22 @@
   createAccountLimiter,
   type AccountLimiter,
 } from '../../../src/relay/accounts/account_limiter.js';
-import {answerQuotaAsk} from '../../../src/relay/accounts/quota_desk.js';
+import {handleQuotaRequest} from '../../../src/relay/accounts/quota_owner.js';
 import type {
-  QuotaAnswer,
-  QuotaAsk,
+  QuotaReply,
+  QuotaRequest,
   QuotaMessage,
 } from '../../../src/relay/accounts/quota_messages.js';
 import {
   createSpendingLedger,
-  type SpendingHost,
+  type HostIncarnation,
   type SpendingLedger,
 } from '../../../src/relay/accounts/spending_ledger.js';
 import {createAskClient} from '../../../src/relay/fleet/ask_client.js';
 import {createAskDesk} from '../../../src/relay/fleet/ask_desk.js';
 
 export const ACCOUNT = 'rmtp';
-/** A small account: about seven streams a second fit. */
+/** Allows about seven streams per second. */
 export const QUOTA: AccountQuota = {
   unit: 'tokens',
   unitsPerS: 36_000,
@@ -38,19 +39,19 @@
 export const STREAM_TOKENS = 5_300;
 
 const COORDINATOR_COUNT = 3;
-const STATE_EVERY_MS = 600;
-const VIEW_EVERY_MS = 500;
-const LINK_MS = 5;
+const STATE_INTERVAL_MS = 600;
+const LEVELS_INTERVAL_MS = 500;
+const LINK_DELAY_MS = 5;
 
 interface QuotaHost {
   readonly hostId: string;
   readonly limiter: AccountLimiter;
   readonly ledger: SpendingLedger;
-  self(): SpendingHost;
+  self(): HostIncarnation;
   receive(fromHostId: string, message: QuotaMessage): void;
 }
 
-/** A request that was let through or refused. */
+/** A request that was admitted or refused. */
 export interface Arrival {
   readonly atMs: number;
   readonly isAllowed: boolean;
@@ -59,21 +60,21 @@
 export interface QuotaFleet {
   readonly clock: VirtualClock;
   readonly arrivals: readonly Arrival[];
-  /** Streams of the account arrive at drawn hosts for a while. */
+  /** Sends streams of the account to random hosts at this rate. */
   offer(streamsPerS: number, durationMs: number): Promise<void>;
   setQuota(quota: AccountQuota): void;
   restart(hostIndexes: readonly number[]): void;
-  /** Three others coordinate from now on. */
+  /** Makes three other hosts the coordinators. */
   changeCoordinators(): void;
-  /** Hosts that hear and tell nothing. */
+  /** Partitions these hosts from all others; replaces earlier partitions. */
   cut(hostIndexes: readonly number[]): void;
-  lose(share: number): void;
-  /** Most tokens let through in any window of so long. */
-  mostTokensIn(windowMs: number): number;
-  /** Of the streams since then. */
+  setLossShare(share: number): void;
+  /** Returns the maximum of tokens admitted in any window of this length. */
+  maxTokensInWindow(windowMs: number): number;
+  /** Returns the share of the streams since `sinceMs` that were admitted. */
   allowedShareSince(sinceMs: number): number;
-  /** The same for one bucket that sees each stream at once. */
-  exactShareSince(sinceMs: number): number;
+  /** Returns the share that a single bucket without delay would admit. */
+  idealShareSince(sinceMs: number): number;
 }
 
 export function makeQuotaFleet(
@@ -84,15 +85,15 @@
   const clock = createVirtualClock(1_000);
   const random = createSeededRandom(seed);
   const arrivals: Arrival[] = [];
-  const isCut = new Set<number>();
+  const cutHosts = new Set<number>();
   let quota = QUOTA;
   let lossShare = 0;
-  let lives = 0;
+  let incarnationCount = 0;
   let firstCoordinator = 0;
 
   function makeHost(index: number): QuotaHost {
     const hostId = `host-${index}`;
-    const incarnation = `life-${lives++}`;
+    const incarnation = `life-${incarnationCount++}`;
     const bornAtMs = clock.nowMs();
     const self = () => ({
       hostId,
@@ -104,15 +105,15 @@
       const to = hosts.findIndex(each => each.hostId === toHostId);
       deliver(index, to, () => hosts[to].receive(hostId, message));
     };
-    const firstAskId = lives * 1_000_000;
-    const client = createAskClient<QuotaAsk, QuotaAnswer>({
+    const firstAskId = incarnationCount * 1_000_000;
+    const client = createAskClient<QuotaRequest, QuotaReply>({
       clock,
       firstAskId,
       tell,
     });
-    const desk = createAskDesk<QuotaAsk, QuotaAnswer>({
+    const responder = createAskDesk<QuotaRequest, QuotaReply>({
       clock,
-      decide: (from, ask) => answerQuotaAsk(ledger, from, ask),
+      decide: (from, request) => handleQuotaRequest(ledger, from, request),
       tell,
     });
     const limiter = createAccountLimiter({
@@ -120,7 +121,7 @@
       random,
       ledger,
       self,
-      isHearingAll: () => coordinators().includes(index),
+      hasAllSpending: () => coordinators().includes(index),
       hostCount: () => hostCount,
       client,
       ownerOf: () => (isOwned ? hosts[firstCoordinator].hostId : undefined),
@@ -131,7 +132,8 @@
       ledger,
       self,
       receive(fromHostId, message) {
-        if (message.kind === 'quota-ask') desk.receive(fromHostId, message);
+        if (message.kind === 'quota-ask')
+          responder.receive(fromHostId, message);
         else client.receive(fromHostId, message);
       },
     };
@@ -144,37 +146,37 @@
     Array.from({length: COORDINATOR_COUNT}, (_, i) => firstCoordinator + i);
 
   function deliver(from: number, to: number, action: () => void): void {
-    if (isCut.has(from) || isCut.has(to)) return;
+    if (cutHosts.has(from) || cutHosts.has(to)) return;
     if (random.nextFloat() < lossShare) return;
-    clock.setTimer(LINK_MS, action);
+    clock.setTimer(LINK_DELAY_MS, action);
   }
 
-  function tellState(from: number): void {
+  function sendState(from: number): void {
     const records = hosts[from].limiter.spending();
     const self = hosts[from].self();
     for (const to of coordinators()) {
       if (to === from) continue;
-      deliver(from, to, () => hosts[to].ledger.hear(self, records));
+      deliver(from, to, () => hosts[to].ledger.record(self, records));
     }
-    clock.setTimer(STATE_EVERY_MS, () => tellState(from));
+    clock.setTimer(STATE_INTERVAL_MS, () => sendState(from));
   }
 
-  function tellView(nth: number): void {
+  function sendLevels(nth: number): void {
     const from = coordinators()[nth];
     const levels = hosts[from].ledger.nearLimit();
     const {hostId} = hosts[from];
     for (let to = 0; to < hostCount; to++) {
       if (coordinators().includes(to)) continue;
-      deliver(from, to, () => hosts[to].limiter.hear(hostId, levels));
+      deliver(from, to, () => hosts[to].limiter.applyLevels(hostId, levels));
     }
-    clock.setTimer(VIEW_EVERY_MS, () => tellView(nth));
+    clock.setTimer(LEVELS_INTERVAL_MS, () => sendLevels(nth));
   }
 
   for (let i = 0; i < hostCount; i++) {
-    clock.setTimer(random.nextInt(STATE_EVERY_MS), () => tellState(i));
+    clock.setTimer(random.nextInt(STATE_INTERVAL_MS), () => sendState(i));
   }
   for (let i = 0; i < COORDINATOR_COUNT; i++) {
-    clock.setTimer(random.nextInt(VIEW_EVERY_MS), () => tellView(i));
+    clock.setTimer(random.nextInt(LEVELS_INTERVAL_MS), () => sendLevels(i));
   }
 
   async function arrive(): Promise<void> {
@@ -210,13 +212,13 @@
       firstCoordinator += COORDINATOR_COUNT;
     },
     cut(hostIndexes) {
-      isCut.clear();
-      for (const index of hostIndexes) isCut.add(index);
+      cutHosts.clear();
+      for (const index of hostIndexes) cutHosts.add(index);
     },
-    lose(share) {
+    setLossShare(share) {
       lossShare = share;
     },
-    mostTokensIn(windowMs) {
+    maxTokensInWindow(windowMs) {
       const allowed = arrivals.filter(each => each.isAllowed);
       let most = 0;
       let first = 0;
@@ -226,7 +228,7 @@
       }
       return most * STREAM_TOKENS;
     },
-    exactShareSince(sinceMs) {
+    idealShareSince(sinceMs) {
       let levelUnits = quota.burstUnits;
       let updatedAtMs = 0;
       let offered = 0;
