--- a/src/relay/backpressure/backpressure.ts
+++ b/src/relay/backpressure/backpressure.ts
@@ -1,4 +1,4 @@
-/** What holds requests back as upstreams ask for, put together. */
+/** Creates and connects the parts that apply the limits named by upstreams. */
 
 import type {Clock} from '../../ports/clock.js';
 import type {Logger} from '../../ports/log.js';
@@ -11,8 +11,8 @@
 import type {UpstreamRegistry} from '../store/upstream_registry.js';
 import {createLimitGate} from './limit_gate.js';
 import type {
-  PermitAnswer,
-  PermitAsk,
+  PermitReply,
+  PermitRequest,
   PermitMessage,
 } from './permit_messages.js';
 import {createPermitSchedule} from './permit_schedule.js';
@@ -29,12 +29,12 @@
   readonly hostId: string;
   readonly registry: Pick<UpstreamRegistry, 'get' | 'getOpen' | 'markLeaving'>;
   /**
-   * Live hosts that are not about to leave, this one among them; the same array
-   * until one changes.
+   * Returns the live hosts that aren't leaving, including this one. The array
+   * stays the same until the set changes.
    */
   hostIds(): readonly string[];
-  tell(hostId: string, message: PermitMessage): void;
-  /** Peers should hear of a change at once. */
+  send(hostId: string, message: PermitMessage): void;
+  /** Called after a change that peers should receive at once. */
   onChange(): void;
 }
 
@@ -42,7 +42,7 @@
   readonly gate: SendGate;
   readonly limits: UpstreamLimits;
   readonly signals: UpstreamSignalListener;
-  /** Who owns the upstream's limit, first choice first. */
+  /** Returns the owners of the upstream's limit, by descending priority. */
   owners(upstreamId: string): readonly string[];
   receive(fromHostId: string, message: PermitMessage): void;
 }
@@ -55,10 +55,10 @@
     isKnown: id => registry.get(id) !== undefined,
     onChange: host.onChange,
   });
-  const client = createAskClient<PermitAsk, PermitAnswer>({
+  const client = createAskClient<PermitRequest, PermitReply>({
     clock,
     firstAskId: random.nextInt(FIRST_ASK_IDS),
-    tell: host.tell,
+    tell: host.send,
   });
   const rests = createUpstreamRests({clock, log});
   const owners = createOwnerRanking('limit', {candidates: host.hostIds});
@@ -71,10 +71,10 @@
     client,
     owners,
   });
-  const desk = createAskDesk<PermitAsk, PermitAnswer>({
+  const responder = createAskDesk<PermitRequest, PermitReply>({
     clock,
-    decide: limitGate.decide,
-    tell: host.tell,
+    decide: limitGate.handleRequest,
+    tell: host.send,
   });
 
   return {
@@ -91,7 +91,7 @@
       },
     },
     receive(fromHostId, message) {
-      if (message.kind === 'permit-ask') desk.receive(fromHostId, message);
+      if (message.kind === 'permit-ask') responder.receive(fromHostId, message);
       else client.receive(fromHostId, message);
     },
   };
--- a/src/relay/backpressure/gated_upstream_port.ts
+++ b/src/relay/backpressure/gated_upstream_port.ts
@@ -1,4 +1,4 @@
-/** Sends only what the upstreams ask for, whoever sends. */
+/** Wraps an upstream port so that all calls obey the limits of the upstreams. */
 
 import type {Clock} from '../../ports/clock.js';
 import type {Logger} from '../../ports/log.js';
@@ -31,17 +31,17 @@
 ) => Promise<Outcome | SendFailure>;
 
 /**
- * What is left after a wait. The wait is the caller's time and not the
- * upstream's: a call may take as long for its head as if it had been sent at
- * once, up to the same moment after its deadline.
+ * Returns the options with the time that the request has waited deducted. The
+ * full head timeout remains, unless the call would then end later after the
+ * deadline than one that was sent at once.
  */
-function afterWait(options: SendOptions, waitedMs: number): SendOptions {
+function deductWait(options: SendOptions, waitedMs: number): SendOptions {
   const leftMs = Math.max(0, options.leftMs - waitedMs);
-  const beyondMs = Math.max(0, options.headTimeoutMs - options.leftMs);
+  const slackMs = Math.max(0, options.headTimeoutMs - options.leftMs);
   return {
     ...options,
     leftMs,
-    headTimeoutMs: Math.min(options.headTimeoutMs, leftMs + beyondMs),
+    headTimeoutMs: Math.min(options.headTimeoutMs, leftMs + slackMs),
   };
 }
 
@@ -64,13 +64,13 @@
     });
     return {
       kind: 'withheld',
-      detail: 'The upstream takes no more for now.',
+      detail: 'The upstream accepts no more requests for now.',
       scope: by === 'rest' ? 'this-host' : 'all-hosts',
       retryAfterMs: spreadRetryAfterMs(waitMs, Infinity, random.nextFloat()),
     };
   }
 
-  /** Resolves early when the caller leaves. */
+  /** Resolves early if the request is cancelled. */
   function pause(waitMs: number, cancellation: Cancellation): Promise<void> {
     if (waitMs <= 0) return Promise.resolve();
     return new Promise(resolve => {
@@ -86,20 +86,20 @@
     <Outcome>(send: Send<Outcome>): Send<Outcome> =>
     async (request, options, cancellation) => {
       const {upstream, permitWaitMs = 0} = options;
-      const askedAtMs = clock.nowMs();
+      const startedAtMs = clock.nowMs();
       const verdict = await gate.admit(upstream.id, permitWaitMs);
       if (verdict.kind === 'withheld') {
         return withhold(request, options, verdict);
       }
       await pause(verdict.waitMs, cancellation);
       if (cancellation.isCancelled) return {kind: 'cancelled'};
-      const waitedMs = clock.nowMs() - askedAtMs;
-      const blocked = gate.blocked(upstream.id);
-      if (blocked) return withhold(request, options, blocked);
-      return send(request, afterWait(options, waitedMs), cancellation);
+      const waitedMs = clock.nowMs() - startedAtMs;
+      const block = gate.findBlock(upstream.id);
+      if (block) return withhold(request, options, block);
+      return send(request, deductWait(options, waitedMs), cancellation);
     };
 
-  // An upstream that rests wants no calls of any kind.
+  // Calls of every kind are held back while the upstream asks for rest.
   return {
     ...port,
     send: gated(port.send),
@@ -107,7 +107,7 @@
     releasePrefill(place) {
       if (!gate.isResting(place.engineId)) port.releasePrefill(place);
     },
-    // It answered a moment ago.
+    // An upstream asks for rest in an answer, so it was reachable just now.
     isReachable: async upstream =>
       gate.isResting(upstream.id) || port.isReachable(upstream),
     report: async upstream =>
--- a/src/relay/backpressure/limit_gate.ts
+++ b/src/relay/backpressure/limit_gate.ts
@@ -1,33 +1,32 @@
 /**
- * Lets requests through to upstreams that name a limit, so that all hosts
- * together keep to it. One host owns each upstream's limit; it is asked before
- * each send.
+ * Admits requests to upstreams that name a rate limit, which applies to all
+ * hosts together. One host owns each limit and grants a permit for each send.
  *
- * Guards against hosts that each keep to the limit, or to a share of it: the
- * first send many times as much, the second less than one request each.
+ * Without an owner, hosts would each apply the full limit and exceed it many
+ * times, or a share of it, which may be less than one request.
  */
 
 import {createBoundedMap} from '../../core/bounded_map.js';
 import {MOST_REMEMBERED} from '../../core/upstream.js';
 import type {Clock} from '../../ports/clock.js';
 import type {AskClient} from '../fleet/ask_client.js';
-import type {PermitAnswer, PermitAsk} from './permit_messages.js';
+import type {PermitReply, PermitRequest} from './permit_messages.js';
 import type {PermitSchedule} from './permit_schedule.js';
 import type {UpstreamLimits} from './upstream_limits.js';
 
-/** Why a request is held back; the first three are about a limit. */
-export type WithheldBy =
+/** Why a request is held back; the first three reasons concern a limit. */
+export type WithheldReason =
   'owner' | 'earlier-answer' | 'no-owner' | 'rest' | 'leaving';
 
 export interface Withheld {
   readonly kind: 'withheld';
-  /** Until the next request could be sent. */
+  /** Time until the next request could be sent. */
   readonly waitMs: number;
-  readonly by: WithheldBy;
+  readonly by: WithheldReason;
 }
 
 export type GateVerdict =
-  /** It may be sent after this long. */
+  /** The request may be sent after this time. */
   {readonly kind: 'open'; readonly waitMs: number} | Withheld;
 
 export interface LimitGate {
@@ -35,10 +34,10 @@
     upstreamId: string,
     mostWaitMs: number,
   ): GateVerdict | Promise<GateVerdict>;
-  /** How long the upstream takes nothing more from this host; 0: it may. */
-  heldMs(upstreamId: string): number;
-  /** As the owner of an upstream's limit. */
-  decide(fromHostId: string, ask: PermitAsk): PermitAnswer;
+  /** Returns how long this host may send nothing to the upstream, or 0. */
+  blockedForMs(upstreamId: string): number;
+  /** Decides on a permit request as the owner of the upstream's limit. */
+  handleRequest(fromHostId: string, request: PermitRequest): PermitReply;
 }
 
 export interface LimitGateHost {
@@ -46,42 +45,45 @@
   readonly hostId: string;
   readonly limits: UpstreamLimits;
   readonly schedule: PermitSchedule;
-  readonly client: Pick<AskClient<PermitAsk, PermitAnswer>, 'ask'>;
-  /** Who owns the upstream's limit, first choice first. */
+  readonly client: Pick<AskClient<PermitRequest, PermitReply>, 'ask'>;
+  /** Returns the owners of the upstream's limit, by descending priority. */
   owners(upstreamId: string): readonly string[];
 }
 
 const OPEN: GateVerdict = {kind: 'open', waitMs: 0};
-/** The owner, and one that stands in for it while it is silent. */
-const OWNER_COUNT = 2;
-/** An owner that did not answer is not asked for this long. */
-const PASSED_OVER_MS = 600;
-/** Without any owner; hosts find out within seconds who else lives. */
-const NO_OWNER_HOLD_MS = 300;
+/** The owner, and a backup for when the owner doesn't reply. */
+const MAX_OWNERS_TRIED = 2;
+/** Time for which an owner that didn't reply is skipped. */
+const OWNER_SKIP_MS = 600;
+/** Wait if no owner replied; failed owners are detected within seconds. */
+const NO_OWNER_WAIT_MS = 300;
 
 export function createLimitGate(host: LimitGateHost): LimitGate {
   const {clock, hostId: ownId, limits, schedule} = host;
-  const heldUntilMs = createBoundedMap<number>(MOST_REMEMBERED);
-  const passedOverUntilMs = new Map<string, number>();
+  const blockedUntilMs = createBoundedMap<number>(MOST_REMEMBERED);
+  const ownerSkippedUntilMs = new Map<string, number>();
 
-  const heldMs = (upstreamId: string) =>
+  const blockedForMs = (upstreamId: string) =>
     limits.limitPerS(upstreamId) === undefined
       ? 0
-      : Math.max(0, (heldUntilMs.get(upstreamId) ?? 0) - clock.nowMs());
+      : Math.max(0, (blockedUntilMs.get(upstreamId) ?? 0) - clock.nowMs());
 
   function withhold(
     upstreamId: string,
     waitMs: number,
-    by: WithheldBy,
+    by: WithheldReason,
   ): GateVerdict {
-    heldUntilMs.set(upstreamId, clock.nowMs() + waitMs);
+    blockedUntilMs.set(upstreamId, clock.nowMs() + waitMs);
     return {kind: 'withheld', waitMs, by};
   }
 
-  function decide(fromHostId: string, ask: PermitAsk): PermitAnswer {
-    const {askId, limit, mostWaitMs} = ask;
+  function handleRequest(
+    fromHostId: string,
+    request: PermitRequest,
+  ): PermitReply {
+    const {askId, limit, mostWaitMs} = request;
     const {upstream} = limit;
-    if (fromHostId !== ownId) limits.hear([limit], 'relayed');
+    if (fromHostId !== ownId) limits.applyRecords([limit], 'relayed');
     const known = limits.record(upstream) ?? limit;
     const {limitPerS} = known;
     const permit =
@@ -91,7 +93,7 @@
             upstream,
             limitPerS,
             mostWaitMs,
-            isStandIn: host.owners(upstream)[0] !== ownId,
+            isBackup: host.owners(upstream)[0] !== ownId,
           });
     return {
       kind: 'permit-answer',
@@ -101,46 +103,46 @@
     };
   }
 
-  function askOwner(
+  function requestFromOwner(
     owner: string,
-    question: Omit<PermitAsk, 'askId'>,
-  ): Promise<PermitAnswer | undefined> {
-    if (owner !== ownId) return host.client.ask(owner, question);
-    return Promise.resolve(decide(ownId, {...question, askId: 0}));
+    request: Omit<PermitRequest, 'askId'>,
+  ): Promise<PermitReply | undefined> {
+    if (owner !== ownId) return host.client.ask(owner, request);
+    return Promise.resolve(handleRequest(ownId, {...request, askId: 0}));
   }
 
-  async function askOwners(
+  async function requestPermit(
     upstreamId: string,
     mostWaitMs: number,
   ): Promise<GateVerdict> {
-    for (const owner of host.owners(upstreamId).slice(0, OWNER_COUNT)) {
-      if ((passedOverUntilMs.get(owner) ?? 0) > clock.nowMs()) continue;
+    for (const owner of host.owners(upstreamId).slice(0, MAX_OWNERS_TRIED)) {
+      if ((ownerSkippedUntilMs.get(owner) ?? 0) > clock.nowMs()) continue;
       const limit = limits.record(upstreamId);
       if (!limit) return OPEN;
       const kind = 'permit-ask';
-      const answer = await askOwner(owner, {kind, limit, mostWaitMs});
+      const answer = await requestFromOwner(owner, {kind, limit, mostWaitMs});
       if (!answer) {
-        passedOverUntilMs.set(owner, clock.nowMs() + PASSED_OVER_MS);
+        ownerSkippedUntilMs.set(owner, clock.nowMs() + OWNER_SKIP_MS);
         continue;
       }
-      if (answer.limit) limits.hear([answer.limit], 'relayed');
+      if (answer.limit) limits.applyRecords([answer.limit], 'relayed');
       const {isGranted, waitMs} = answer;
       if (isGranted) return {kind: 'open', waitMs};
       return withhold(upstreamId, waitMs, 'owner');
     }
-    return withhold(upstreamId, NO_OWNER_HOLD_MS, 'no-owner');
+    return withhold(upstreamId, NO_OWNER_WAIT_MS, 'no-owner');
   }
 
   return {
     admit(upstreamId, mostWaitMs) {
       if (limits.limitPerS(upstreamId) === undefined) return OPEN;
-      const waitMs = heldMs(upstreamId);
+      const waitMs = blockedForMs(upstreamId);
       if (waitMs > mostWaitMs) {
         return {kind: 'withheld', waitMs, by: 'earlier-answer'};
       }
-      return askOwners(upstreamId, mostWaitMs);
+      return requestPermit(upstreamId, mostWaitMs);
     },
-    heldMs,
-    decide,
+    blockedForMs,
+    handleRequest,
   };
 }
--- a/src/relay/backpressure/permit_messages.ts
+++ b/src/relay/backpressure/permit_messages.ts
@@ -1,29 +1,29 @@
-/** What a host and the owner of an upstream's limit tell each other. */
+/** Messages between a host and the owner of an upstream's limit. */
 
 import type {LimitRecord} from './upstream_limits.js';
 
-/** A request for an upstream that names a limit. */
-export interface PermitAsk {
+/** Asks the owner for permission to send a request to the upstream. */
+export interface PermitRequest {
   readonly kind: 'permit-ask';
-  /** New for each ask of the asking host's life. */
+  /** Unique among the requests of the sender's incarnation. */
   readonly askId: number;
-  /** The limit as the asking host knows it. */
+  /** The limit as known to the sender. */
   readonly limit: LimitRecord;
-  /** How long the request may be held back. */
+  /** Maximum time for which the request may be delayed. */
   readonly mostWaitMs: number;
 }
 
-export interface PermitAnswer {
+export interface PermitReply {
   readonly kind: 'permit-answer';
   readonly askId: number;
   readonly isGranted: boolean;
-  /** Until the request may be sent, or until the next one could be. */
+  /** Time until this request, if granted, or else the next may be sent. */
   readonly waitMs: number;
-  /** What the owner knows, where it knows newer. */
+  /** The limit as known to the owner, if it differs from the request's. */
   readonly limit?: LimitRecord;
 }
 
-export type PermitMessage = PermitAsk | PermitAnswer;
+export type PermitMessage = PermitRequest | PermitReply;
 
 export function isPermitMessage(message: {
   readonly kind: string;
--- a/src/relay/backpressure/permit_schedule.ts
+++ b/src/relay/backpressure/permit_schedule.ts
@@ -1,60 +1,63 @@
 /**
- * When the next request may go to an upstream that names a limit, for all hosts
- * that ask the owner of the limit. Pure but for the clock.
+ * Schedules, at the owner of a limit, the requests of all hosts to the upstream.
+ * Pure except for the clock.
  *
- * Guards against a rate that several owners give away. Hosts may know different
- * owners for a moment, so an owner begins with nothing to give, and one that
- * only stands in for another keeps to a part of the rate.
+ * Hosts may briefly disagree on the owner, and several owners together must not
+ * exceed the rate. So a new owner starts without unused permits, and a backup
+ * grants only a share of the rate.
  */
 
 import {createBoundedMap} from '../../core/bounded_map.js';
 import {MOST_REMEMBERED} from '../../core/upstream.js';
 import type {Clock} from '../../ports/clock.js';
 
-export interface PermitNeed {
+export interface PermitOptions {
   readonly upstream: string;
   readonly limitPerS: number;
-  /** How long the request may be held back. */
+  /** Maximum time for which the request may be delayed. */
   readonly mostWaitMs: number;
-  /** Whether another host owns the limit, as far as this one knows. */
-  readonly isStandIn: boolean;
+  /** Whether this host acts as the backup of the owner. */
+  readonly isBackup: boolean;
 }
 
 export interface Permit {
   readonly isGranted: boolean;
-  /** Until the request may be sent, or until the next one could be. */
+  /** Time until this request, if granted, or else the next may be sent. */
   readonly waitMs: number;
 }
 
 export interface PermitSchedule {
-  take(need: PermitNeed): Permit;
+  take(options: PermitOptions): Permit;
 }
 
-/** Requests come in lumps; what was not used lately may be used now. */
+/** Requests arrive in bursts; permits unused for this time remain valid. */
 const BURST_MS = 250;
-/** Part of the rate that a host gives away in another's place. */
-const STAND_IN_SHARE = 0.25;
-/** An upstream that takes next to nothing is still asked, or never heard. */
-const FEWEST_PER_S = 0.25;
+/** Share of the rate that a backup grants. */
+const BACKUP_RATE_SHARE = 0.25;
+/** Minimum rate, since a new limit is only learnt from an upstream's answer. */
+const MIN_RATE_PER_S = 0.25;
 const MS_PER_SECOND = 1_000;
 
 export function createPermitSchedule(host: {
   readonly clock: Clock;
 }): PermitSchedule {
   const {clock} = host;
-  /** When the latest permit was due. */
-  const lastAtMs = createBoundedMap<number>(MOST_REMEMBERED);
+  /** Due time of the latest permit, by upstream. */
+  const lastDueAtMs = createBoundedMap<number>(MOST_REMEMBERED);
 
   return {
-    take({upstream, limitPerS, mostWaitMs, isStandIn}) {
+    take({upstream, limitPerS, mostWaitMs, isBackup}) {
       const nowMs = clock.nowMs();
-      const share = isStandIn ? STAND_IN_SHARE : 1;
-      const perS = Math.max(limitPerS, FEWEST_PER_S) * share;
-      const last = lastAtMs.get(upstream) ?? nowMs;
-      const dueAtMs = Math.max(last + MS_PER_SECOND / perS, nowMs - BURST_MS);
+      const share = isBackup ? BACKUP_RATE_SHARE : 1;
+      const ratePerS = Math.max(limitPerS, MIN_RATE_PER_S) * share;
+      const last = lastDueAtMs.get(upstream) ?? nowMs;
+      const dueAtMs = Math.max(
+        last + MS_PER_SECOND / ratePerS,
+        nowMs - BURST_MS,
+      );
       const waitMs = Math.max(0, dueAtMs - nowMs);
       const isGranted = waitMs <= mostWaitMs;
-      lastAtMs.set(upstream, isGranted ? dueAtMs : last);
+      lastDueAtMs.set(upstream, isGranted ? dueAtMs : last);
       return {isGranted, waitMs};
     },
   };
--- a/src/relay/backpressure/send_gate.ts
+++ b/src/relay/backpressure/send_gate.ts
@@ -1,20 +1,20 @@
-/** Whether an upstream takes a request of this host now, whatever it asks for. */
+/** Decides whether this host may send a request to an upstream now. */
 
 import type {UpstreamRegistry} from '../store/upstream_registry.js';
 import type {GateVerdict, LimitGate, Withheld} from './limit_gate.js';
 import type {UpstreamRests} from './upstream_rests.js';
 
 export interface SendGate {
-  /** May ask the owner of the upstream's limit, and let the request wait. */
+  /** Admits a request, with a permit of the limit's owner where one is needed. */
   admit(
     upstreamId: string,
     mostWaitMs: number,
   ): GateVerdict | Promise<GateVerdict>;
-  /** For a request that was admitted and had to wait since. */
-  blocked(upstreamId: string): Withheld | undefined;
+  /** Checks again a request that was admitted and then had to wait. */
+  findBlock(upstreamId: string): Withheld | undefined;
   isResting(upstreamId: string): boolean;
-  /** How long the upstream takes nothing more from this host; 0: it may. */
-  heldMs(upstreamId: string): number;
+  /** Returns how long this host may send nothing to the upstream, or 0. */
+  blockedForMs(upstreamId: string): number;
 }
 
 export interface SendGateHost {
@@ -26,8 +26,8 @@
 export function createSendGate(host: SendGateHost): SendGate {
   const {registry, rests, limitGate} = host;
 
-  function blocked(upstreamId: string): Withheld | undefined {
-    // It may have begun to leave since it was chosen, here or elsewhere.
+  function findBlock(upstreamId: string): Withheld | undefined {
+    // The upstream may have started to leave after it was chosen.
     if (!registry.getOpen(upstreamId)) {
       return {kind: 'withheld', waitMs: 0, by: 'leaving'};
     }
@@ -37,10 +37,10 @@
 
   return {
     admit: (upstreamId, mostWaitMs) =>
-      blocked(upstreamId) ?? limitGate.admit(upstreamId, mostWaitMs),
-    blocked,
+      findBlock(upstreamId) ?? limitGate.admit(upstreamId, mostWaitMs),
+    findBlock,
     isResting: upstreamId => rests.leftMs(upstreamId) > 0,
-    heldMs: upstreamId =>
-      Math.max(rests.leftMs(upstreamId), limitGate.heldMs(upstreamId)),
+    blockedForMs: upstreamId =>
+      Math.max(rests.leftMs(upstreamId), limitGate.blockedForMs(upstreamId)),
   };
 }
--- a/src/relay/backpressure/signal_counts.ts
+++ b/src/relay/backpressure/signal_counts.ts
@@ -1,4 +1,4 @@
-/** Counts what upstreams say of themselves in their answers. */
+/** Counts the backpressure signals in the answers of upstreams. */
 
 import type {UpstreamSignals} from '../../ports/relay.js';
 import type {RelayMetrics} from '../relay_metrics.js';
@@ -8,13 +8,15 @@
   isLeaving: 'signal="leaving"',
   restMs: 'signal="rest"',
 };
-const KINDS = Object.keys(LABELS) as ReadonlyArray<keyof UpstreamSignals>;
+const SIGNAL_KINDS = Object.keys(LABELS) as ReadonlyArray<
+  keyof UpstreamSignals
+>;
 
 export function countSignals(
   metrics: Pick<RelayMetrics, 'count'>,
   signals: UpstreamSignals,
 ): void {
-  for (const kind of KINDS) {
+  for (const kind of SIGNAL_KINDS) {
     if (signals[kind] === undefined) continue;
     metrics.count('upstream_signals', LABELS[kind]);
   }
--- a/src/relay/backpressure/upstream_limits.ts
+++ b/src/relay/backpressure/upstream_limits.ts
@@ -1,10 +1,10 @@
 /**
- * The request rates that upstreams in need allow all hosts together, as they
- * name them in their answers.
+ * Keeps the request rates that overloaded upstreams name in their answers. Each
+ * rate is a limit for all hosts together.
  *
- * Hosts tell each other what they were told, so that the rate ends everywhere
- * with the first answer that names none: a host that sends nothing to such an
- * upstream would never learn it.
+ * Hosts exchange these limits, so that a limit ends on all hosts with the first
+ * answer that names none. A host that sends nothing to the upstream would
+ * otherwise never learn that it ended.
  */
 
 import {createBoundedMap} from '../../core/bounded_map.js';
@@ -12,43 +12,44 @@
 import type {Clock} from '../../ports/clock.js';
 import type {Logger} from '../../ports/log.js';
 
-/** What a host knows of an upstream's limit, for its peers. */
+/** An upstream's limit as known to a host, in messages to its peers. */
 export interface LimitRecord {
   readonly upstream: string;
-  /** Requests a second; null where the upstream names none any more. */
+  /** Requests per second; null if the upstream no longer names a limit. */
   readonly limitPerS: number | null;
-  /** Of the answer that told it. */
+  /** Age of the answer that the limit comes from. */
   readonly ageMs: number;
 }
 
 /**
- * Whose word a limit is: of an answer to this host, of a host that had such an
- * answer, or of one that was told. The last is not told on: ages lose the time
- * of each hop.
+ * Where a limit comes from: an answer to this host, a peer that received such
+ * an answer, or a host that relayed it. A relayed limit isn't relayed again,
+ * since its age doesn't include the delay of each hop.
  */
 type LimitOrigin = 'own' | 'peer' | 'relayed';
 
 export interface UpstreamLimits {
   /**
-   * An upstream answered a request that was sent at `sentAtMs`. Undefined when
-   * the answer names no limit: an earlier one no longer holds then.
+   * Records the limit in an answer to a request that was sent at `sentAtMs`. If
+   * the answer names none, `limitPerS` is undefined and an earlier limit ends.
    */
   noteAnswer(
     upstreamId: string,
     limitPerS: number | undefined,
     sentAtMs: number,
   ): void;
-  hear(
+  /** Applies limits received from another host. */
+  applyRecords(
     records: readonly LimitRecord[],
     origin: Exclude<LimitOrigin, 'own'>,
   ): void;
-  /** Undefined while the upstream names none. */
+  /** Returns undefined while the upstream names no limit. */
   limitPerS(upstreamId: string): number | undefined;
-  /** Undefined where nothing was ever heard of a limit. */
+  /** Returns undefined if the upstream has never named a limit. */
   record(upstreamId: string): LimitRecord | undefined;
-  /** What answers to this host told, for the peers. */
-  own(): readonly LimitRecord[];
-  /** What this host and the peers that it hears were told. */
+  /** Returns limits from answers to this host, to send to peers. */
+  ownRecords(): readonly LimitRecord[];
+  /** Returns limits from answers to this host and to its direct peers. */
   found(): readonly LimitRecord[];
   limitedCount(): number;
 }
@@ -56,25 +57,28 @@
 export interface UpstreamLimitsHost {
   readonly clock: Clock;
   readonly log: Logger;
-  /** Whether the upstream is listed now. */
+  /** Returns whether the list of upstreams contains the upstream. */
   isKnown(upstreamId: string): boolean;
-  /** By an answer to this host a limit began or ended. */
+  /** Called when a limit begins or ends with an answer to this host. */
   onChange(): void;
 }
 
 interface KnownLimit {
-  /** Undefined once the upstream named none any more. */
+  /** Undefined after the upstream stopped naming a limit. */
   readonly limitPerS?: number;
   readonly atMs: number;
   readonly origin: LimitOrigin;
 }
 
-/** An end is told for this long; hosts that missed it ask the owner. */
-const TELL_END_MS = 10_000;
-/** Of ages that came by way of several hosts. */
-const AGE_ERROR_MS = 250;
-/** Named in one datagram, the newest first. */
-const MOST_TOLD = 32;
+/**
+ * Time for which the end of a limit is sent to peers. Hosts that miss it learn
+ * it from the owner of the limit.
+ */
+const END_SENT_MS = 10_000;
+/** Maximum error of an age that was relayed by several hosts. */
+const MAX_AGE_ERROR_MS = 250;
+/** Maximum number of records in a datagram; the newest are sent. */
+const MAX_RECORDS_SENT = 32;
 
 export function createUpstreamLimits(host: UpstreamLimitsHost): UpstreamLimits {
   const {clock, log} = host;
@@ -85,8 +89,9 @@
     limits.set(upstreamId, next);
     if (before?.limitPerS === next.limitPerS) return;
     const {limitPerS, origin} = next;
-    const isOther = before?.limitPerS === undefined || limitPerS === undefined;
-    if (origin === 'own' && isOther) host.onChange();
+    const hasBegunOrEnded =
+      before?.limitPerS === undefined || limitPerS === undefined;
+    if (origin === 'own' && hasBegunOrEnded) host.onChange();
     const fields = {upstream: upstreamId, limitPerS, origin};
     if (limitPerS !== undefined) {
       log.info('Upstream names a limit.', fields);
@@ -99,21 +104,28 @@
     });
   }
 
-  /** An end has to be surely newer than the limit: a wrong one lets all send. */
-  function end(upstreamId: string, atMs: number, origin: LimitOrigin): void {
+  /**
+   * Ends a limit if the end is certainly newer than the limit. A false end would
+   * let all hosts send without a limit.
+   */
+  function endLimit(
+    upstreamId: string,
+    atMs: number,
+    origin: LimitOrigin,
+  ): void {
     const known = limits.get(upstreamId);
     if (!known) return;
-    const marginMs = origin === 'own' ? 0 : AGE_ERROR_MS;
+    const marginMs = origin === 'own' ? 0 : MAX_AGE_ERROR_MS;
     if (atMs > known.atMs + marginMs) set(upstreamId, {atMs, origin});
   }
 
-  function hearOne(record: LimitRecord, origin: LimitOrigin): void {
+  function applyRecord(record: LimitRecord, origin: LimitOrigin): void {
     const {upstream, limitPerS, ageMs} = record;
     if (!host.isKnown(upstream)) return;
     const atMs = clock.nowMs() - ageMs;
-    if (limitPerS === null) return end(upstream, atMs, origin);
+    if (limitPerS === null) return endLimit(upstream, atMs, origin);
     const known = limits.get(upstream);
-    const marginMs = origin === 'relayed' ? AGE_ERROR_MS : 0;
+    const marginMs = origin === 'relayed' ? MAX_AGE_ERROR_MS : 0;
     if (known && atMs <= known.atMs + marginMs) return;
     set(upstream, {limitPerS, atMs, origin});
   }
@@ -126,36 +138,36 @@
     };
   }
 
-  function tellable(
-    isTold: (origin: LimitOrigin) => boolean,
+  function recordsToSend(
+    isIncluded: (origin: LimitOrigin) => boolean,
   ): readonly LimitRecord[] {
     return [...limits.entries()]
       .filter(
-        ([upstream, {origin}]) => isTold(origin) && host.isKnown(upstream),
+        ([upstream, {origin}]) => isIncluded(origin) && host.isKnown(upstream),
       )
       .map(([upstream, known]) => toRecord(upstream, known))
-      .filter(each => each.limitPerS !== null || each.ageMs < TELL_END_MS)
+      .filter(each => each.limitPerS !== null || each.ageMs < END_SENT_MS)
       .sort((a, b) => a.ageMs - b.ageMs)
-      .slice(0, MOST_TOLD);
+      .slice(0, MAX_RECORDS_SENT);
   }
 
   return {
     noteAnswer(upstreamId, limitPerS, sentAtMs) {
-      // Answers may overtake each other: one to a request that was sent before
-      // the limit was named tells nothing of what holds now.
-      if (limitPerS === undefined) return end(upstreamId, sentAtMs, 'own');
+      // Answers may overtake each other. An answer to a request that was sent
+      // before the limit was named doesn't end that limit.
+      if (limitPerS === undefined) return endLimit(upstreamId, sentAtMs, 'own');
       set(upstreamId, {limitPerS, atMs: clock.nowMs(), origin: 'own'});
     },
-    hear(records, origin) {
-      for (const record of records) hearOne(record, origin);
+    applyRecords(records, origin) {
+      for (const record of records) applyRecord(record, origin);
     },
     limitPerS: upstreamId => limits.get(upstreamId)?.limitPerS,
     record(upstreamId) {
       const known = limits.get(upstreamId);
       return known && toRecord(upstreamId, known);
     },
-    own: () => tellable(origin => origin === 'own'),
-    found: () => tellable(origin => origin !== 'relayed'),
+    ownRecords: () => recordsToSend(origin => origin === 'own'),
+    found: () => recordsToSend(origin => origin !== 'relayed'),
     limitedCount: () =>
       [...limits.entries()].filter(
         ([upstream, {limitPerS}]) =>
--- a/src/relay/backpressure/upstream_rests.ts
+++ b/src/relay/backpressure/upstream_rests.ts
@@ -1,10 +1,9 @@
 /**
- * Until when upstreams that turned this host away want nothing from it. Each
- * host keeps to what it was asked; others may send meanwhile.
+ * Tracks the rest periods that upstreams ask for when they refuse a request of
+ * this host. Other hosts aren't bound by them.
  *
- * Guards against an upstream that draws requests because it refuses quickly: a
- * refusal leaves no call outstanding and no slow answer, so that the upstream
- * looks like the best choice.
+ * An upstream that refuses quickly would otherwise attract more requests: it has
+ * no outstanding calls and no slow answers, so it looks like the best choice.
  */
 
 import {createBoundedMap} from '../../core/bounded_map.js';
@@ -14,7 +13,7 @@
 
 export interface UpstreamRests {
   note(upstreamId: string, restMs: number): void;
-  /** What is left of it; 0: the upstream does not rest. */
+  /** Returns the remaining rest period, or 0 if there is none. */
   leftMs(upstreamId: string): number;
 }
 
@@ -25,17 +24,17 @@
 
 export function createUpstreamRests(host: UpstreamRestsHost): UpstreamRests {
   const {clock, log} = host;
-  const untilMs = createBoundedMap<number>(MOST_REMEMBERED);
+  const restUntilMs = createBoundedMap<number>(MOST_REMEMBERED);
 
   const leftMs = (upstreamId: string) =>
-    Math.max(0, (untilMs.get(upstreamId) ?? 0) - clock.nowMs());
+    Math.max(0, (restUntilMs.get(upstreamId) ?? 0) - clock.nowMs());
 
   return {
     note(upstreamId, restMs) {
       const beforeMs = leftMs(upstreamId);
       if (restMs <= beforeMs) return;
-      untilMs.set(upstreamId, clock.nowMs() + restMs);
-      // One line for each time of rest, not for each refusal in it.
+      restUntilMs.set(upstreamId, clock.nowMs() + restMs);
+      // Logs one line per rest period instead of one per refusal.
       if (beforeMs > 0) return;
       log.info('Upstream asks for rest.', {upstream: upstreamId, restMs});
     },
--- a/src/relay/relay_process.ts
+++ b/src/relay/relay_process.ts
@@ -140,7 +140,7 @@
     registry,
     // A host that leaves gives its limits away, its own needs among them.
     hostIds: () => (leaving.isLeaving() ? stayingPeerIds() : stayingIds()),
-    tell: (hostId, message) => peers.tell(hostId, message),
+    send: (hostId, message) => peers.tell(hostId, message),
     onChange: () => peers.changed('coordinators'),
   });
   const readers = createStoreReaders({
@@ -180,7 +180,7 @@
     registry,
     isReady: () => hostState() === 'ready',
     isChanging: engineId => roleOrders.changing().includes(engineId),
-    isHeld: engineId => backpressure.gate.heldMs(engineId) > 0,
+    isHeld: engineId => backpressure.gate.blockedForMs(engineId) > 0,
     tell: (hostId, message) => peers.tell(hostId, message),
     members: () => peers.alive(),
     onChange: () => peers.changed(),
@@ -201,7 +201,7 @@
         ...ownFindings(),
         full: scheduler.full(),
         losses: crashes.facts(),
-        limits: unlessEmpty(backpressure.limits.own()),
+        limits: unlessEmpty(backpressure.limits.ownRecords()),
         leaving: unlessEmpty(registry.leaving('self')),
         adoptedAskIds: placement.adoptedAskIds(),
         spending: accounts.spending(),
@@ -223,7 +223,7 @@
         accounts.applyPeerState(peer);
         watch.hear(peer);
         crashes.learn(peer.losses);
-        backpressure.limits.hear(peer.limits ?? [], 'peer');
+        backpressure.limits.applyRecords(peer.limits ?? [], 'peer');
         learnLeaving(peer);
         if (peer.unreachable.length > MOST_SUSPECTS) return;
         learnUnreachable(peer.unreachable);
@@ -233,7 +233,7 @@
         accounts.applySummary(fromHostId, summary);
         watch.hear(summary);
         crashes.learn(summary.losses);
-        backpressure.limits.hear(summary.limits ?? [], 'relayed');
+        backpressure.limits.applyRecords(summary.limits ?? [], 'relayed');
         learnLeaving(summary);
         learnUnreachable(summary.unreachable);
       },
@@ -381,7 +381,7 @@
     plain: createPlainRelay({
       ...shared,
       slots: plainPlaces.slots,
-      heldMs: gate.heldMs,
+      heldMs: gate.blockedForMs,
     }),
     streams: createStreamRelay({
       ...shared,
--- a/tests/relay/backpressure/backpressure_test.ts
+++ b/tests/relay/backpressure/backpressure_test.ts
@@ -19,9 +19,9 @@
   heartbeat: revisionAt(1),
 };
 
-const HOSTS = ['host-1'];
+const HOST_IDS = ['host-1'];
 
-/** A host that knows one other, which does not answer. */
+/** Creates a host without peers. */
 function makeHost() {
   const clock = createVirtualClock(1_000);
   const registry = createUpstreamRegistry({clock, log: silentLog});
@@ -32,8 +32,8 @@
     metrics: {count: () => undefined},
     hostId: 'host-1',
     registry,
-    hostIds: () => HOSTS,
-    tell: () => undefined,
+    hostIds: () => HOST_IDS,
+    send: () => undefined,
     onChange: () => undefined,
   });
   let revision = 0;
@@ -46,9 +46,9 @@
   };
 }
 
-test('a limit and a rest outlive the entry of their upstream', async () => {
-  // Guards against an outage of the store in which an upstream in need lapses
-  // and is listed again.
+test('a limit and a rest period outlive the list entry of their upstream', async () => {
+  // Guards against losing them in a store outage, when the entry of an
+  // overloaded upstream may expire and be listed again.
   const {clock, gate, limits, signals, list} = makeHost();
   list(UPSTREAM);
   signals.heard(UPSTREAM, {limitPerS: 2, restMs: 3_000}, clock.nowMs());
@@ -56,15 +56,15 @@
   await clock.advance(500);
   list(UPSTREAM);
   assert.equal(limits.limitPerS('i-1'), 2);
-  assert.equal(gate.heldMs('i-1'), 2_500);
+  assert.equal(gate.blockedForMs('i-1'), 2_500);
 });
 
-test('an upstream that rests is not asked for until the end of the rest', async () => {
+test('nothing is admitted to an upstream until its rest period ends', async () => {
   const {clock, gate, signals, list} = makeHost();
   list(UPSTREAM);
   signals.heard(UPSTREAM, {restMs: 3_000}, clock.nowMs());
   await clock.advance(1_000);
-  // A second refusal with a shorter rest does not end the first one.
+  // A second refusal with a shorter rest period doesn't shorten the first.
   signals.heard(UPSTREAM, {restMs: 500}, clock.nowMs());
   const verdict = await gate.admit('i-1', 10_000);
   assert.deepEqual(verdict, {kind: 'withheld', waitMs: 2_000, by: 'rest'});
@@ -72,7 +72,7 @@
   assert.equal((await gate.admit('i-1', 0)).kind, 'open');
 });
 
-test('an upstream that leaves gets nothing that was chosen before', async () => {
+test('a request is not sent to an upstream that leaves after it was chosen', async () => {
   const {clock, gate, signals, list} = makeHost();
   list(UPSTREAM);
   signals.heard(UPSTREAM, {isLeaving: true}, clock.nowMs());
@@ -80,12 +80,12 @@
   assert.deepEqual(verdict, {kind: 'withheld', waitMs: 0, by: 'leaving'});
 });
 
-test('a limit of a departed upstream is told to nobody', async () => {
+test('a limit of an unlisted upstream is not sent to peers', async () => {
   const {clock, limits, signals, list} = makeHost();
   list(UPSTREAM);
   signals.heard(UPSTREAM, {limitPerS: 2}, clock.nowMs());
-  assert.equal(limits.own().length, 1);
+  assert.equal(limits.ownRecords().length, 1);
   list();
-  assert.equal(limits.own().length, 0);
+  assert.equal(limits.ownRecords().length, 0);
   assert.equal(limits.limitedCount(), 0);
 });
--- a/tests/relay/backpressure/limit_fleet.ts
+++ b/tests/relay/backpressure/limit_fleet.ts
@@ -1,6 +1,7 @@
 /**
- * Hosts that share a few upstreams, some of which name limits, in virtual time.
- * Datagrams take time and may be lost, and hosts may die, restart or be cut off.
+ * Simulates hosts that share a few upstreams, some with limits, in virtual time.
+ * Datagrams are delayed and may be lost, and hosts may fail, restart or be
+ * partitioned.
  */
 
 import {createSeededRandom} from '../../../src/core/seeded_random.js';
@@ -19,20 +20,21 @@
 import {silentLog} from '../../support/silent_log.js';
 import {revisionAt} from '../../support/store_revisions.js';
 
-const LINK_MS = 3;
+const LINK_DELAY_MS = 3;
 const WORK_MS = 20;
-const MESH_STATE_MS = 250;
-const STATE_MS = 600;
-const VIEW_MS = 500;
-/** Until the others know that a host has died. */
-const DETECT_MS = 2_200;
-const COORDINATORS = 3;
-const TOLD_MS = 500;
+const MESH_STATE_INTERVAL_MS = 250;
+const STATE_INTERVAL_MS = 600;
+const RECORDS_INTERVAL_MS = 500;
+/** Time until the other hosts detect that a host has failed. */
+const DETECTION_MS = 2_200;
+const COORDINATOR_COUNT = 3;
+/** A host must obey a limit within this time after it received the limit. */
+const REACTION_MS = 500;
 
 export const WINDOW_MS = 4_000;
 
-/** What all hosts that were told may send an upstream in a window. */
-export function mostAllowed(limitPerS: number): number {
+/** Requests that hosts that know the limit may send in a window. */
+export function maxAllowed(limitPerS: number): number {
   return 1.5 * limitPerS * (WINDOW_MS / 1_000) + 5;
 }
 
@@ -40,16 +42,16 @@
   readonly index: number;
   readonly hostId: string;
   readonly backpressure: Backpressure;
-  /** By upstream: when it passed on an answer that named a limit. */
-  readonly toldAtMs: Map<string, number>;
-  /** What it does is excused up to then. */
-  excusedUntilMs: number;
+  /** By upstream: when the host first received an answer with a limit. */
+  readonly limitReceivedAtMs: Map<string, number>;
+  /** Until then, requests of this host aren't counted. */
+  exemptUntilMs: number;
 }
 
 interface Arrival {
   readonly upstreamId: string;
   readonly atMs: number;
-  /** From a host that had been told, and that is not excused. */
+  /** Whether the sender knew the limit and wasn't exempt. */
   readonly isCounted: boolean;
 }
 
@@ -63,20 +65,20 @@
 export interface LimitFleet {
   readonly clock: VirtualClock;
   readonly upstreamIds: readonly string[];
-  /** Undefined: the upstream names none any more. */
+  /** Sets the limit, or ends it if `perS` is undefined. */
   setLimit(upstreamId: string, perS: number | undefined): void;
-  /** Calls arrive at drawn hosts for a while. */
+  /** Sends calls to random hosts at this rate. */
   offer(callsPerS: number, durationMs: number): Promise<void>;
   kill(index: number): void;
-  /** A new life of the host that knows nothing. */
+  /** Restarts the host with empty state. */
   restart(index: number): void;
-  /** The host and its peers do not hear each other for so long. */
+  /** Partitions the host from its peers for this time. */
   cut(index: number, durationMs: number): void;
-  /** The host that most others take for the owner of the limit. */
+  /** Returns the owner of the limit as seen by the first host. */
   ownerOf(upstreamId: string): number;
-  /** Most counted arrivals in any window since then. */
-  mostInWindow(upstreamId: string, sinceMs: number): number;
-  /** All arrivals at the upstream since then. */
+  /** Returns the maximum of counted arrivals in any window. */
+  maxInWindow(upstreamId: string, sinceMs: number): number;
+  /** Returns the number of all arrivals, counted or not. */
   arrivalsSince(upstreamId: string, sinceMs: number): number;
   refusedSince(sinceMs: number): number;
 }
@@ -107,24 +109,24 @@
   const isCut = (index: number) => (cutUntilMs.get(index) ?? 0) > clock.nowMs();
 
   function deliver(from: number, to: number, action: () => void): void {
-    const life = hosts[to];
+    const receiver = hosts[to];
     if (from !== to && (isCut(from) || isCut(to))) return;
     if (from !== to && random.nextFloat() < lossShare) return;
-    clock.setTimer(LINK_MS, () => {
-      if (!deadSinceMs.has(to) && hosts[to] === life) action();
+    clock.setTimer(LINK_DELAY_MS, () => {
+      if (!deadSinceMs.has(to) && hosts[to] === receiver) action();
     });
   }
 
-  /** The same array until somebody is missed. */
+  /** Replaced only when a failure is detected or a host restarts. */
   let knownIds: readonly string[] = [];
 
-  /** The dead are missed after a while. */
-  function findKnownIds(): void {
+  /** Lists all hosts but those whose failure has been detected. */
+  function updateKnownIds(): void {
     const nowMs = clock.nowMs();
     knownIds = hosts
       .filter(({index}) => {
         const diedAtMs = deadSinceMs.get(index);
-        return diedAtMs === undefined || nowMs - diedAtMs < DETECT_MS;
+        return diedAtMs === undefined || nowMs - diedAtMs < DETECTION_MS;
       })
       .map(({hostId}) => hostId);
   }
@@ -143,27 +145,27 @@
         markLeaving: () => undefined,
       },
       hostIds: () => knownIds,
-      tell(toHostId, message: PermitMessage) {
+      send(toHostId, message: PermitMessage) {
         const to = hosts.findIndex(each => each.hostId === toHostId);
         const receive = () => hosts[to].backpressure.receive(hostId, message);
         deliver(index, to, receive);
       },
-      onChange: () => tellState(index),
+      onChange: () => sendOwnRecords(index),
     });
     return {
       index,
       hostId,
       backpressure,
-      toldAtMs: new Map(),
-      excusedUntilMs: 0,
+      limitReceivedAtMs: new Map(),
+      exemptUntilMs: 0,
     };
   }
 
   const hosts: FleetHost[] = [];
   for (let i = 0; i < hostCount; i++) hosts.push(makeHost(i));
-  findKnownIds();
+  updateKnownIds();
 
-  function tellAll(
+  function sendToAll(
     from: number,
     to: readonly FleetHost[],
     records: readonly LimitRecord[],
@@ -172,20 +174,21 @@
     if (deadSinceMs.has(from)) return;
     for (const {index} of to) {
       if (index === from) continue;
-      const hear = () => hosts[index].backpressure.limits.hear(records, origin);
-      deliver(from, index, hear);
+      const receive = () =>
+        hosts[index].backpressure.limits.applyRecords(records, origin);
+      deliver(from, index, receive);
     }
   }
 
-  function tellState(from: number): void {
-    const records = hosts[from].backpressure.limits.own();
-    const to = isMesh ? hosts : hosts.slice(0, COORDINATORS);
-    tellAll(from, to, records, 'peer');
+  function sendOwnRecords(from: number): void {
+    const records = hosts[from].backpressure.limits.ownRecords();
+    const to = isMesh ? hosts : hosts.slice(0, COORDINATOR_COUNT);
+    sendToAll(from, to, records, 'peer');
   }
 
-  function tellView(from: number): void {
+  function sendFoundRecords(from: number): void {
     const records = hosts[from].backpressure.limits.found();
-    tellAll(from, hosts, records, 'relayed');
+    sendToAll(from, hosts, records, 'relayed');
   }
 
   function repeat(everyMs: number, action: () => void): void {
@@ -197,15 +200,19 @@
   }
 
   for (let i = 0; i < hostCount; i++) {
-    repeat(isMesh ? MESH_STATE_MS : STATE_MS, () => tellState(i));
-    if (!isMesh && i < COORDINATORS) repeat(VIEW_MS, () => tellView(i));
+    repeat(isMesh ? MESH_STATE_INTERVAL_MS : STATE_INTERVAL_MS, () =>
+      sendOwnRecords(i),
+    );
+    if (!isMesh && i < COORDINATOR_COUNT)
+      repeat(RECORDS_INTERVAL_MS, () => sendFoundRecords(i));
   }
 
   function arrive(host: FleetHost, upstreamId: string, sentAtMs: number): void {
     const nowMs = clock.nowMs();
-    const toldAtMs = host.toldAtMs.get(upstreamId) ?? Infinity;
+    const limitReceivedAtMs =
+      host.limitReceivedAtMs.get(upstreamId) ?? Infinity;
     const isCounted =
-      nowMs - toldAtMs >= TOLD_MS && nowMs >= host.excusedUntilMs;
+      nowMs - limitReceivedAtMs >= REACTION_MS && nowMs >= host.exemptUntilMs;
     arrivals.push({upstreamId, atMs: nowMs, isCounted});
     clock.setTimer(WORK_MS, () => {
       const limitPerS = limits.get(upstreamId);
@@ -213,8 +220,9 @@
         if (hosts[host.index] !== host || deadSinceMs.has(host.index)) return;
         const upstream = byId.get(upstreamId)!;
         host.backpressure.signals.heard(upstream, {limitPerS}, sentAtMs);
-        if (limitPerS === undefined || host.toldAtMs.has(upstreamId)) return;
-        host.toldAtMs.set(upstreamId, clock.nowMs());
+        if (limitPerS === undefined || host.limitReceivedAtMs.has(upstreamId))
+          return;
+        host.limitReceivedAtMs.set(upstreamId, clock.nowMs());
       });
     });
   }
@@ -226,7 +234,7 @@
     const tried = new Set<string>();
     for (;;) {
       const open = upstreamIds.filter(
-        id => !tried.has(id) && gate.heldMs(id) === 0,
+        id => !tried.has(id) && gate.blockedForMs(id) === 0,
       );
       if (open.length === 0) break;
       const id = open[random.nextInt(open.length)];
@@ -259,24 +267,24 @@
     },
     kill(index) {
       deadSinceMs.set(index, clock.nowMs());
-      clock.setTimer(DETECT_MS, findKnownIds);
+      clock.setTimer(DETECTION_MS, updateKnownIds);
     },
     restart(index) {
       deadSinceMs.delete(index);
-      findKnownIds();
+      updateKnownIds();
       hosts[index] = makeHost(index);
-      hosts[index].excusedUntilMs = clock.nowMs() + DETECT_MS;
+      hosts[index].exemptUntilMs = clock.nowMs() + DETECTION_MS;
     },
     cut(index, durationMs) {
       cutUntilMs.set(index, clock.nowMs() + durationMs);
-      hosts[index].excusedUntilMs = clock.nowMs() + durationMs;
+      hosts[index].exemptUntilMs = clock.nowMs() + durationMs;
     },
     ownerOf(upstreamId) {
-      const asked = hosts.map(({backpressure}) => backpressure);
-      const [owner] = asked[0].owners(upstreamId);
+      const backpressures = hosts.map(({backpressure}) => backpressure);
+      const [owner] = backpressures[0].owners(upstreamId);
       return hosts.findIndex(({hostId}) => hostId === owner);
     },
-    mostInWindow(upstreamId, sinceMs) {
+    maxInWindow(upstreamId, sinceMs) {
       const times = arrivals
         .filter(each => each.upstreamId === upstreamId && each.isCounted)
         .map(({atMs}) => atMs)
--- a/tests/relay/backpressure/limit_fleet_test.ts
+++ b/tests/relay/backpressure/limit_fleet_test.ts
@@ -2,7 +2,7 @@
 import {test} from 'node:test';
 import {
   makeLimitFleet,
-  mostAllowed,
+  maxAllowed,
   type LimitFleet,
   type LimitFleetOptions,
 } from './limit_fleet.js';
@@ -13,13 +13,13 @@
 ];
 const LIMITS_PER_S = [0.3, 2, 20];
 
-interface Play {
+interface Scenario {
   readonly options: LimitFleetOptions;
   readonly callsPerS: number;
   readonly limitPerS: number;
 }
 
-function* plays(lossShare = 0): Generator<Play> {
+function* scenarios(lossShare = 0): Generator<Scenario> {
   for (const {hostCount, upstreamCount, callsPerS, seeds} of FLEETS) {
     for (let seed = 1; seed <= seeds; seed++) {
       const options = {hostCount, upstreamCount, seed, lossShare};
@@ -29,114 +29,114 @@
   }
 }
 
-/** Two upstreams name a limit from the third second on. */
-async function playToLimit(play: Play): Promise<LimitFleet> {
-  const fleet = makeLimitFleet(play.options);
-  await fleet.offer(play.callsPerS, 3_000);
+/** Runs for three seconds and then lets two upstreams name a limit. */
+async function startLimits(scenario: Scenario): Promise<LimitFleet> {
+  const fleet = makeLimitFleet(scenario.options);
+  await fleet.offer(scenario.callsPerS, 3_000);
   for (const id of fleet.upstreamIds.slice(0, 2)) {
-    fleet.setLimit(id, play.limitPerS);
+    fleet.setLimit(id, scenario.limitPerS);
   }
   return fleet;
 }
 
-function assertHeld(fleet: LimitFleet, play: Play): void {
+function assertLimitsHold(fleet: LimitFleet, scenario: Scenario): void {
   for (const id of fleet.upstreamIds.slice(0, 2)) {
-    const most = fleet.mostInWindow(id, 0);
-    const {hostCount, seed} = play.options;
+    const most = fleet.maxInWindow(id, 0);
+    const {hostCount, seed} = scenario.options;
     assert.ok(
-      most <= mostAllowed(play.limitPerS),
-      `${most} at ${play.limitPerS} a second, ${hostCount} hosts, seed ${seed}`,
+      most <= maxAllowed(scenario.limitPerS),
+      `${most} at ${scenario.limitPerS} a second, ${hostCount} hosts, seed ${seed}`,
     );
   }
 }
 
-test('few and many hosts keep to the limit that an upstream names', async () => {
-  // Guards against a limit that each host applies by itself.
-  for (const play of plays()) {
-    const fleet = await playToLimit(play);
-    await fleet.offer(play.callsPerS, 10_000);
-    assertHeld(fleet, play);
-    // The other upstreams take what these do not.
+test('small and large fleets keep to the limit that an upstream names', async () => {
+  // Guards against hosts that each apply the full limit.
+  for (const scenario of scenarios()) {
+    const fleet = await startLimits(scenario);
+    await fleet.offer(scenario.callsPerS, 10_000);
+    assertLimitsHold(fleet, scenario);
+    // The other upstreams have room for the remaining requests.
     assert.equal(fleet.refusedSince(0), 0);
   }
 });
 
-test('an upstream gets most of what it says that it takes', async () => {
-  // Guards against a limit divided among hosts, which is less than a request
-  // for each.
-  for (const play of plays()) {
-    const fleet = await playToLimit(play);
-    await fleet.offer(play.callsPerS, 4_000);
+test('an upstream receives most of the rate that it names', async () => {
+  // Guards against a limit divided among the hosts. Each share is less than one
+  // request.
+  for (const scenario of scenarios()) {
+    const fleet = await startLimits(scenario);
+    await fleet.offer(scenario.callsPerS, 4_000);
     const sinceMs = fleet.clock.nowMs();
-    await fleet.offer(play.callsPerS, 20_000);
-    const offeredPerS = play.callsPerS / play.options.upstreamCount;
-    const takesPerS = Math.min(offeredPerS, play.limitPerS);
+    await fleet.offer(scenario.callsPerS, 20_000);
+    const offeredPerS = scenario.callsPerS / scenario.options.upstreamCount;
+    const expectedPerS = Math.min(offeredPerS, scenario.limitPerS);
     const [id] = fleet.upstreamIds;
     const perS = fleet.arrivalsSince(id, sinceMs) / 20;
     assert.ok(
-      perS > 0.6 * takesPerS,
-      `${perS} of ${takesPerS}, ${play.options.hostCount} hosts`,
+      perS > 0.6 * expectedPerS,
+      `${perS} of ${expectedPerS}, ${scenario.options.hostCount} hosts`,
     );
   }
 });
 
 test('the limit holds while datagrams are lost', async () => {
-  // Guards against a second host that gives the whole rate away again where
-  // the first one is not heard.
-  for (const play of plays(0.3)) {
-    const fleet = await playToLimit(play);
-    await fleet.offer(play.callsPerS, 10_000);
-    assertHeld(fleet, play);
+  // Guards against a backup that grants the whole rate again while messages of
+  // the owner are lost.
+  for (const scenario of scenarios(0.3)) {
+    const fleet = await startLimits(scenario);
+    await fleet.offer(scenario.callsPerS, 10_000);
+    assertLimitsHold(fleet, scenario);
   }
 });
 
-test('the limit holds when its owner dies, starts again or is cut off', async () => {
-  // Guards against an owner that begins with a full bucket.
-  for (const play of plays()) {
-    const fleet = await playToLimit(play);
-    await fleet.offer(play.callsPerS, 4_000);
+test('the limit holds when its owner fails, restarts or is partitioned', async () => {
+  // Guards against an owner that starts with a full bucket.
+  for (const scenario of scenarios()) {
+    const fleet = await startLimits(scenario);
+    await fleet.offer(scenario.callsPerS, 4_000);
     const [first, second] = fleet.upstreamIds;
     const owner = fleet.ownerOf(first);
     fleet.kill(owner);
-    await fleet.offer(play.callsPerS, 3_000);
+    await fleet.offer(scenario.callsPerS, 3_000);
     fleet.restart(owner);
-    await fleet.offer(play.callsPerS, 3_000);
+    await fleet.offer(scenario.callsPerS, 3_000);
     fleet.cut(fleet.ownerOf(second), 3_000);
-    await fleet.offer(play.callsPerS, 6_000);
-    assertHeld(fleet, play);
+    await fleet.offer(scenario.callsPerS, 6_000);
+    assertLimitsHold(fleet, scenario);
   }
 });
 
-test('a limit ends at all hosts soon after the upstream names none', async () => {
-  // Guards against hosts that keep to a limit of which they hear nothing more.
-  for (const play of plays()) {
-    const fleet = await playToLimit(play);
-    const {limitPerS, callsPerS} = play;
+test('a limit ends on all hosts soon after the upstream names none', async () => {
+  // Guards against hosts that keep a limit because they don't receive its end.
+  for (const scenario of scenarios()) {
+    const fleet = await startLimits(scenario);
+    const {limitPerS, callsPerS} = scenario;
     await fleet.offer(callsPerS, 5_000);
     const [id] = fleet.upstreamIds;
     fleet.setLimit(id, undefined);
-    // One more request shows it; the slowest upstream takes one in 4 s.
+    // One more request shows the end; the slowest upstream gets one in 4 s.
     await fleet.offer(callsPerS, 1_000 / limitPerS + 4_000);
     const sinceMs = fleet.clock.nowMs();
     await fleet.offer(callsPerS, 5_000);
-    const offeredPerS = callsPerS / play.options.upstreamCount;
+    const offeredPerS = callsPerS / scenario.options.upstreamCount;
     const perS = fleet.arrivalsSince(id, sinceMs) / 5;
     assert.ok(perS > 0.7 * offeredPerS, `${perS} of ${offeredPerS}`);
   }
 });
 
-test('a limit that rises and falls binds each time', async () => {
-  // Guards against permits that were promised at an earlier rate.
-  for (const play of plays()) {
-    const fleet = await playToLimit(play);
+test('each new limit holds when it rises and falls', async () => {
+  // Guards against permits that were granted at an earlier rate.
+  for (const scenario of scenarios()) {
+    const fleet = await startLimits(scenario);
     const [id] = fleet.upstreamIds;
     for (const limitPerS of [20, undefined, 20, 3]) {
       fleet.setLimit(id, limitPerS);
-      await fleet.offer(play.callsPerS, 3_000);
+      await fleet.offer(scenario.callsPerS, 3_000);
     }
     const fellAtMs = fleet.clock.nowMs();
-    await fleet.offer(play.callsPerS, 8_000);
-    const most = fleet.mostInWindow(id, fellAtMs);
-    assert.ok(most <= mostAllowed(3), `${most}`);
+    await fleet.offer(scenario.callsPerS, 8_000);
+    const most = fleet.maxInWindow(id, fellAtMs);
+    assert.ok(most <= maxAllowed(3), `${most}`);
   }
 });
