--- a/src/relay/answers/answer_collector.ts
+++ b/src/relay/answers/answer_collector.ts
@@ -1,6 +1,6 @@
 /**
- * Reads an answer whole before it is handed on, so that one that breaks off
- * can still be replaced by another attempt. Large ones are not kept back.
+ * Buffers an answer before it is forwarded, so that another attempt can replace
+ * one that breaks off. Large answers aren't buffered.
  */
 
 import type {
@@ -9,7 +9,7 @@
   UpstreamAnswer,
 } from '../../ports/relay.js';
 
-/** Answers of plain services are a few kB; more than this is passed through. */
+/** Larger answers are streamed; answers of plain services are a few kB. */
 const MAX_COLLECTED_BYTES = 256 * 1024;
 
 export interface CollectedAnswer {
@@ -19,10 +19,10 @@
   readonly body: Buffer;
 }
 
-/** What of a large answer was read already, and how to read on. */
-export interface BegunAnswer {
+/** The part of a large answer that was already read. */
+export interface PartialAnswer {
   readonly bytes: Buffer;
-  /** From now on the body goes to this sink. */
+  /** Sends the rest of the body to this sink. */
   continueWith(sink: AnswerBodySink): void;
 }
 
@@ -32,7 +32,7 @@
   | {
       readonly kind: 'large';
       readonly answer: UpstreamAnswer;
-      readonly begun: BegunAnswer;
+      readonly begun: PartialAnswer;
     };
 
 export function collectAnswer(answer: UpstreamAnswer): Promise<Collected> {
--- a/src/relay/answers/answer_delivery.ts
+++ b/src/relay/answers/answer_delivery.ts
@@ -1,7 +1,7 @@
-/** Hands an upstream's answer on to the caller, unchanged. */
+/** Forwards an upstream's answer to the caller, unchanged. */
 
 import type {AnswerBodySink, UpstreamAnswer} from '../../ports/relay.js';
-import type {BegunAnswer, CollectedAnswer} from './answer_collector.js';
+import type {PartialAnswer, CollectedAnswer} from './answer_collector.js';
 import type {Caller} from '../front/caller.js';
 import type {RelayJob} from '../relay_types.js';
 
@@ -15,13 +15,14 @@
 }
 
 /**
- * Passes a body on as it arrives. One that breaks off is cut at the caller,
- * too, so that it never looks whole. Resolves true if it arrived whole.
+ * Forwards a body as it arrives and resolves to whether it was complete. If the
+ * body breaks off, the caller's connection is closed as well, so that the answer
+ * doesn't look complete.
  */
 export function passThrough(
   job: RelayJob,
   answer: UpstreamAnswer,
-  begun?: BegunAnswer,
+  partial?: PartialAnswer,
 ): Promise<boolean> {
   const {caller, cancellation} = job;
   const {body} = answer;
@@ -45,9 +46,9 @@
       resolve(false);
     });
     caller.begin(answer.status, answer.headers);
-    if (begun) {
-      caller.write(begun.bytes);
-      begun.continueWith(sink);
+    if (partial) {
+      caller.write(partial.bytes);
+      partial.continueWith(sink);
     } else {
       body.read(sink);
     }
--- a/src/relay/answers/answer_rules.ts
+++ b/src/relay/answers/answer_rules.ts
@@ -1,24 +1,25 @@
-/** Which answers may be handed on, and what may be said without one. */
+/** Rules for the answers and errors that may be sent to callers. */
 
 import {errorAnswers, type RequestError} from '../../core/error_kinds.js';
 import type {UpstreamAnswer} from '../../ports/relay.js';
 
-/** Each of these promises that the request was not run. */
-const PROMISING_STATUSES: ReadonlySet<number> = new Set([408, 421, 429, 503]);
+/** Statuses that promise that the request wasn't run. */
+const NOT_RUN_STATUSES: ReadonlySet<number> = new Set([408, 421, 429, 503]);
 
 /**
- * A success without the upstream's signature may be anybody's bytes; a status
- * that promises "not run" without the upstream's own word may be a lie.
+ * Returns whether an answer may be forwarded. An answer without the upstream's
+ * signature may come from elsewhere. A status that promises "not run" is never
+ * forwarded, since it may be false.
  */
 export function isGenuine(answer: UpstreamAnswer): boolean {
-  if (PROMISING_STATUSES.has(answer.status)) return false;
+  if (NOT_RUN_STATUSES.has(answer.status)) return false;
   return answer.hasSignature;
 }
 
 /**
- * What may be said of a request that ended without an answer. Once an upstream
- * may have run it, no refusal that promises "not run" is true any more, though
- * the last thing that happened was a refusal or a lost connection.
+ * Returns the error to send for a request that ended without an answer. Once an
+ * upstream may have run the request, an error that promises "not run" would be
+ * false, even if the last attempt was refused or lost its connection.
  */
 export function toTrueError(
   error: RequestError,
@@ -28,6 +29,6 @@
   if (!hasRun) return error;
   const {detail} = error;
   if (isLate) return {kind: 'deadline-passed', detail};
-  const isPromise = errorAnswers[error.kind].runState === 'not-run';
-  return isPromise ? {kind: 'upstream-failed', detail} : error;
+  const promisesNotRun = errorAnswers[error.kind].runState === 'not-run';
+  return promisesNotRun ? {kind: 'upstream-failed', detail} : error;
 }
--- a/src/relay/relay.ts
+++ b/src/relay/relay.ts
@@ -90,7 +90,7 @@
     const outcome = await (job.service.engine
       ? streams.run(job)
       : plain.run(job));
-    const wasSent = outcome.upstreams.length > 0 || outcome.wasRead;
+    const wasSent = outcome.upstreams.length > 0 || outcome.wasPrefilled;
     if (outcome.end !== 'answered' && !wasSent) job.admitted.refund();
     return outcome;
   }
--- a/src/relay/relay_types.ts
+++ b/src/relay/relay_types.ts
@@ -32,7 +32,7 @@
   readonly firstByteMs?: number;
   readonly events?: number;
   /** An engine has read the prompt for it. */
-  readonly wasRead?: boolean;
+  readonly wasPrefilled?: boolean;
 }
 
 /** A connection within a region is made in some 10 ms; more is a dark host. */
--- /dev/null
+++ b/src/relay/streams/budgeted_calls.ts
@@ -0,0 +1,76 @@
+/**
+ * Charges the engine calls of a stream to the service's retry budget: each call
+ * after the first takes a retry, whatever its purpose.
+ *
+ * Retries could otherwise add half of its load to a service that is already
+ * overloaded. Charging only where a failure is handled would miss calls: a
+ * prompt that a prefill engine refused still goes to a decode engine, and a
+ * resumed stream needs its prompt prefilled again.
+ */
+
+import type {PrefillOutcome, SendFailure} from '../../ports/relay.js';
+import type {RetryBudget} from '../../request/retry_budget.js';
+import type {StreamState} from './stream_state.js';
+
+/** The call wasn't made, since the retry budget is used up. */
+export type RetriesExhausted = {
+  readonly kind: 'retries-exhausted';
+  readonly detail: string;
+};
+
+export interface BudgetedCalls {
+  /** Makes a prefill call. The first one that an engine accepts is free. */
+  prefill(
+    state: StreamState,
+    call: () => Promise<PrefillOutcome>,
+  ): Promise<PrefillOutcome | RetriesExhausted>;
+  /** Makes a call that runs the request at a decode engine. */
+  run<Answer extends {readonly kind: 'answered'}>(
+    state: StreamState,
+    call: () => Promise<Answer | SendFailure>,
+  ): Promise<Answer | SendFailure | RetriesExhausted>;
+  /** Returns whether the budget allows one more run and its prefill. */
+  canRetryRun(state: StreamState): boolean;
+}
+
+const RETRIES_EXHAUSTED: RetriesExhausted = {
+  kind: 'retries-exhausted',
+  detail: 'The retries of the service are used up.',
+};
+const NOT_SENT_KINDS: ReadonlySet<string> = new Set<SendFailure['kind']>([
+  'unreachable',
+  'withheld',
+]);
+/** The prefill and the run itself. */
+const CALLS_PER_RUN = 2;
+
+export function createBudgetedCalls(budget: RetryBudget): BudgetedCalls {
+  async function callWithinBudget<Outcome extends {readonly kind: string}>(
+    state: StreamState,
+    call: () => Promise<Outcome>,
+    isCounted: (outcome: Outcome) => boolean,
+  ): Promise<Outcome | RetriesExhausted> {
+    const service = state.job.service.name;
+    const isRetry = state.countedCalls > 0;
+    if (isRetry && !budget.tryTake(service)) return RETRIES_EXHAUSTED;
+    const outcome = await call();
+    // A call that was never sent costs the engines nothing.
+    if (!NOT_SENT_KINDS.has(outcome.kind) && isCounted(outcome)) {
+      state.countedCalls++;
+    } else if (isRetry) {
+      budget.giveBack(service);
+    }
+    return outcome;
+  }
+
+  return {
+    prefill: (state, call) =>
+      callWithinBudget(state, call, ({kind}) => {
+        const isFirst = kind === 'prefilled' && !state.wasPrefilled;
+        if (kind === 'prefilled') state.wasPrefilled = true;
+        return !isFirst;
+      }),
+    run: (state, call) => callWithinBudget(state, call, () => true),
+    canRetryRun: ({job}) => budget.hasLeft(job.service.name, CALLS_PER_RUN),
+  };
+}
--- a/src/relay/streams/engine_failures.ts
+++ b/src/relay/streams/engine_failures.ts
@@ -1,4 +1,4 @@
-/** What follows from a send that an engine did not answer, and its log line. */
+/** Records and logs the calls that engines failed to answer. */
 
 import type {Clock} from '../../ports/clock.js';
 import type {Logger} from '../../ports/log.js';
@@ -18,11 +18,11 @@
 }
 
 export interface EngineFailures {
-  /** Takes the engine out of use as far as the failure tells. */
-  note(engine: Upstream, failure: SendFailure): void;
-  /** Writes the failure with the books that had led to the engine. */
-  write(
-    sentence: string,
+  /** Takes the engine out of use if the failure shows that it is necessary. */
+  record(engine: Upstream, failure: SendFailure): void;
+  /** Logs the failure with the load that the engine was chosen by. */
+  logFailure(
+    message: string,
     state: StreamState,
     engine: Upstream,
     failure: Failure,
@@ -33,8 +33,8 @@
 export type Failure =
   SendFailure | {readonly kind: 'broken'; readonly detail: string};
 
-/** What a refusal says about the engine beyond that it has no room. */
-const REJECTIONS: Readonly<
+/** Handles reasons for a refusal other than a lack of capacity. */
+const REJECTION_HANDLERS: Readonly<
   Partial<
     Record<
       Extract<SendFailure, {kind: 'rejected'}>['reason'],
@@ -49,8 +49,11 @@
 export function createEngineFailures(host: EngineFailuresHost): EngineFailures {
   const {clock, log, scheduler, books, registry} = host;
 
-  /** Who places for this host does not know that the engine rests for it. */
-  function noteWithheld(
+  /**
+   * Marks the engine as full: the host that places requests for this host
+   * doesn't know that this host must not send to the engine.
+   */
+  function recordWithheld(
     {id}: Upstream,
     {scope, retryAfterMs}: Extract<SendFailure, {kind: 'withheld'}>,
   ): void {
@@ -58,7 +61,7 @@
   }
 
   return {
-    note(engine, failure) {
+    record(engine, failure) {
       switch (failure.kind) {
         case 'unreachable':
           registry.markUnreachable(engine.id);
@@ -67,22 +70,22 @@
           scheduler.noteFailure(engine.id);
           return;
         case 'rejected':
-          REJECTIONS[failure.reason]?.(host, engine.id);
+          REJECTION_HANDLERS[failure.reason]?.(host, engine.id);
           return;
         case 'withheld':
-          noteWithheld(engine, failure);
+          recordWithheld(engine, failure);
           return;
         case 'cancelled':
           return;
       }
     },
-    write(sentence, state, engine, failure) {
+    logFailure(message, state, engine, failure) {
       if (failure.kind === 'cancelled') return;
       const {job, need, placement} = state;
       const {runs, tokensNow, tokensAtEnd} = books.decodeLoad(
         placement.decode.id,
       );
-      log.info(sentence, {
+      log.info(message, {
         request: job.request.requestId,
         upstream: engine.id,
         failure: failure.kind,
--- a/src/relay/streams/event_framer.ts
+++ b/src/relay/streams/event_framer.ts
@@ -1,22 +1,22 @@
 /**
- * Cuts the bytes of an event stream into whole events.
+ * Splits the bytes of an event stream into whole events.
  *
- * An engine may die in the middle of an event. A stream that may go on at
- * another engine hands on whole events only, so that the first event of the
- * next run does not land in a torn one.
+ * An engine may fail in the middle of an event. A resumable stream forwards only
+ * whole events, so that the first event of the next run doesn't follow a
+ * truncated one.
  */
 
-/** One whole event with its bytes, the blank line included. */
+/** One whole event; `bytes` include the blank line at its end. */
 export interface StreamEvent {
-  /** The number of the event, where it has one. */
+  /** The `id` field of the event, if it has one. */
   readonly id?: string;
   readonly bytes: Buffer;
 }
 
 export interface EventFramer {
-  /** Whole events that these bytes complete, in order. */
+  /** Adds bytes and returns the events that they complete, in order. */
   push(bytes: Buffer): readonly StreamEvent[];
-  /** Bytes of an event that is not whole. */
+  /** Returns the bytes after the last whole event. */
   rest(): Buffer;
 }
 
@@ -24,7 +24,7 @@
 const CARRIAGE_RETURN = 0x0d;
 const ID_FIELD = /^id: ?(.*?)\r?$/m;
 
-/** Index just behind the blank line that ends the event at `from`, or -1. */
+/** Returns the index after the blank line that ends the event, or -1. */
 function findEventEnd(bytes: Buffer, from: number): number {
   let lineStart = from;
   for (;;) {
--- a/src/relay/streams/output_forecast.ts
+++ b/src/relay/streams/output_forecast.ts
@@ -1,30 +1,34 @@
-/** How many tokens a stream will make, by its caller or by those before it. */
+/**
+ * Estimates the output length of streams, from the caller's estimate or from
+ * earlier streams of the service.
+ */
 
 import type {RelayJob} from '../relay_types.js';
 
 export interface OutputForecast {
   expectedTokens(job: RelayJob): number;
-  /** A stream of the service ended whole. */
-  learn(service: string, tokens: number): void;
+  /** Records the output of a complete stream. */
+  recordOutput(service: string, tokens: number): void;
 }
 
-/** Output of a request that gives no estimate, until some have ended. */
-const FIRST_OUTPUT_TOKENS = 800;
+/** Estimate for a service without complete streams. */
+const INITIAL_OUTPUT_TOKENS = 800;
 const SMOOTHING = 0.1;
 
 export function createOutputForecast(): OutputForecast {
   const means = new Map<string, number>();
-  const meanOf = (service: string) => means.get(service) ?? FIRST_OUTPUT_TOKENS;
+  const meanOf = (service: string) =>
+    means.get(service) ?? INITIAL_OUTPUT_TOKENS;
   return {
     expectedTokens({request, service}) {
       const {prompt} = request;
       const expected = prompt?.expectedOutputTokens ?? meanOf(service.name);
-      const most = prompt?.maxOutputTokens ?? expected;
-      return most > 0 ? Math.min(expected, most) : expected;
+      const limit = prompt?.maxOutputTokens ?? expected;
+      return limit > 0 ? Math.min(expected, limit) : expected;
     },
-    learn(service, tokens) {
-      const before = meanOf(service);
-      means.set(service, before + SMOOTHING * (tokens - before));
+    recordOutput(service, tokens) {
+      const previousMean = meanOf(service);
+      means.set(service, previousMean + SMOOTHING * (tokens - previousMean));
     },
   };
 }
--- a/src/relay/streams/prefill_step.ts
+++ b/src/relay/streams/prefill_step.ts
@@ -1,4 +1,4 @@
-/** Has the prompt of a stream read by a prefill engine. */
+/** Has a prefill engine compute the prompt of a stream. */
 
 import type {Clock} from '../../ports/clock.js';
 import type {
@@ -7,7 +7,7 @@
   SendOptions,
   UpstreamPort,
 } from '../../ports/relay.js';
-import type {CountedCalls, Spent} from './counted_calls.js';
+import type {BudgetedCalls, RetriesExhausted} from './budgeted_calls.js';
 import type {EngineFailures} from './engine_failures.js';
 import type {
   EngineScheduler,
@@ -23,38 +23,38 @@
   readonly upstreamPort: Pick<UpstreamPort, 'prefill'>;
   readonly scheduler: EngineScheduler;
   readonly failures: EngineFailures;
-  readonly calls: CountedCalls;
+  readonly calls: BudgetedCalls;
   readonly learning: SharedLearning;
 }
 
-export type PrefillEnd =
+export type PrefillStepOutcome =
   | {readonly kind: 'read'; readonly source: PrefillResultPlace}
-  /** The decode engine is to read the prompt itself. */
+  /** The decode engine has to prefill the prompt itself. */
   | {readonly kind: 'not-read'}
-  | Spent;
+  | RetriesExhausted;
 
 export interface PrefillStep {
-  run(state: StreamState): Promise<PrefillEnd>;
+  run(state: StreamState): Promise<PrefillStepOutcome>;
 }
 
-/** Prefill engines that one request may ask, one after another. */
-const MAX_TRIES = 3;
-/** An engine with nothing else to do answers well within this time. */
+/** Maximum number of prefill engines that are tried for one request. */
+const MAX_ATTEMPTS = 3;
+/** An idle engine answers well within this time. */
 const PREFILL_TIMEOUT_MS = 1_500;
 /**
- * An engine with a long backlog gets so many times as long as it should take:
- * a prompt that is given up is read for nobody, and once more elsewhere.
+ * Timeout of an engine with a backlog, as a multiple of the expected time. A
+ * prompt whose call times out is computed in vain and again elsewhere.
  */
 const BACKLOG_FACTOR = 2;
 
 export function createPrefillStep(host: PrefillStepHost): PrefillStep {
   const {clock, upstreamPort, scheduler, failures, calls} = host;
 
-  async function readAt(
+  async function prefillAt(
     state: StreamState,
     engine: Upstream,
     booking: PrefillBooking,
-  ): Promise<PrefillEnd | SendFailure> {
+  ): Promise<PrefillStepOutcome | SendFailure> {
     const {job, need} = state;
     const startedAtMs = clock.nowMs();
     const backlogMs = booking.backlogTokens() / host.learning.tokensPerMs();
@@ -70,11 +70,11 @@
     );
     const wasAlone = booking.isAlone();
     booking.end();
-    if (outcome.kind === 'spent') return outcome;
+    if (outcome.kind === 'retries-exhausted') return outcome;
     if (outcome.kind === 'rejected') scheduler.noteFull(engine.id);
     if (outcome.kind !== 'prefilled') {
-      failures.note(engine, outcome);
-      failures.write('Prefill failed.', state, engine, outcome);
+      failures.record(engine, outcome);
+      failures.logFailure('Prefill failed.', state, engine, outcome);
       return outcome;
     }
     scheduler.noteSuccess(engine.id);
@@ -95,12 +95,13 @@
       let engine = placement.prefill;
       let booking = placement.prefillBooking;
       while (engine) {
-        const outcome = await readAt(state, engine, booking);
-        if (outcome.kind === 'read' || outcome.kind === 'spent') return outcome;
+        const outcome = await prefillAt(state, engine, booking);
+        if (outcome.kind === 'read' || outcome.kind === 'retries-exhausted')
+          return outcome;
         tried.add(engine.id);
-        // What is booked from here on must be asked: a booking that nobody
-        // ends makes its engine look busy for good.
-        if (job.cancellation.isCancelled || tried.size >= MAX_TRIES) break;
+        // An engine that is booked below must be called: a booking that is
+        // never ended makes the engine look busy forever.
+        if (job.cancellation.isCancelled || tried.size >= MAX_ATTEMPTS) break;
         const next = scheduler.prefillAgain(need, placement.decode, tried);
         if (!next) break;
         ({engine, booking} = next);
--- a/src/relay/streams/stream_events.ts
+++ b/src/relay/streams/stream_events.ts
@@ -1,4 +1,4 @@
-/** Hands the events of one run on to the caller, and watches its pace. */
+/** Forwards the events of one run to the caller and detects a stalled run. */
 
 import type {Clock, TimerHandle} from '../../ports/clock.js';
 import type {Cancellation, UpstreamAnswer} from '../../ports/relay.js';
@@ -6,22 +6,22 @@
 import {createEventFramer, type StreamEvent} from './event_framer.js';
 
 export type StreamEnd =
-  /** The last event was handed on. */
+  /** The last event was forwarded. */
   | {readonly kind: 'whole'}
   | {readonly kind: 'caller-gone'}
-  /** The request's time is over. */
+  /** The deadline of the request has passed. */
   | {readonly kind: 'timeout'; readonly detail: string}
-  /** The run broke off or fell silent; the caller's connection still stands. */
+  /** The run broke off or stalled; the caller is still connected. */
   | {readonly kind: 'broken'; readonly detail: string};
 
 export interface StreamEventsOptions {
   readonly answer: UpstreamAnswer;
   readonly caller: Caller;
   readonly cancellation: Cancellation;
-  /** Keep back the bytes of an event until it is whole. */
+  /** Whether the bytes of an event are held back until it is complete. */
   readonly wholeEventsOnly: boolean;
-  /** Ends a run that shows nothing for this long; without it, none. */
-  readonly silenceMs?: number;
+  /** Ends a run that sends nothing for this time; undefined disables this. */
+  readonly stallTimeoutMs?: number;
   readonly deadlineAtMs: number;
   onEvent(event: StreamEvent): void;
 }
@@ -31,41 +31,41 @@
   options: StreamEventsOptions,
 ): Promise<StreamEnd> {
   const {clock} = host;
-  const {answer, caller, cancellation, silenceMs} = options;
+  const {answer, caller, cancellation, stallTimeoutMs} = options;
   const {body} = answer;
   const framer = createEventFramer();
   return new Promise(resolve => {
-    let silenceTimer: TimerHandle | undefined;
+    let stallTimer: TimerHandle | undefined;
     let isDone = false;
     const finish = (end: StreamEnd) => {
       if (isDone) return;
       isDone = true;
-      if (silenceTimer) clock.clearTimer(silenceTimer);
+      if (stallTimer) clock.clearTimer(stallTimer);
       clock.clearTimer(deadlineTimer);
       if (end.kind !== 'whole') body.destroy();
       resolve(end);
     };
-    const watchSilence = () => {
-      if (silenceMs === undefined) return;
-      if (silenceTimer) clock.clearTimer(silenceTimer);
-      silenceTimer = clock.setTimer(silenceMs, () =>
-        finish({kind: 'broken', detail: `silent for ${silenceMs} ms`}),
+    const restartStallTimer = () => {
+      if (stallTimeoutMs === undefined) return;
+      if (stallTimer) clock.clearTimer(stallTimer);
+      stallTimer = clock.setTimer(stallTimeoutMs, () =>
+        finish({kind: 'broken', detail: `no data for ${stallTimeoutMs} ms`}),
       );
     };
     const deadlineTimer = clock.setTimer(
       Math.max(0, options.deadlineAtMs - clock.nowMs()),
-      () => finish({kind: 'timeout', detail: 'the wait is over'}),
+      () => finish({kind: 'timeout', detail: 'the deadline has passed'}),
     );
     cancellation.onCancel(() => finish({kind: 'caller-gone'}));
     const write = (bytes: Buffer) => {
       if (!caller.write(bytes)) body.pause();
     };
     caller.onWritable(() => body.resume());
-    watchSilence();
+    restartStallTimer();
     body.read({
       chunk(bytes) {
         if (isDone) return;
-        watchSilence();
+        restartStallTimer();
         const events = framer.push(bytes);
         if (!options.wholeEventsOnly) write(bytes);
         for (const event of events) {
--- a/src/relay/streams/stream_relay.ts
+++ b/src/relay/streams/stream_relay.ts
@@ -1,9 +1,9 @@
 /**
- * One stream of a model service, from its wait for engines to its last event.
+ * Runs a stream of a model service, from its placement to its last event.
  *
- * A stream that may not be resumed runs at most once: after a send that may
- * have reached an engine it is only ever handed on or ended. A resumable one
- * goes on at another engine after its last whole event.
+ * A stream that isn't resumable runs at most once: after a send that may have
+ * reached an engine, its answer is forwarded or the request ends. A resumable
+ * stream continues on another engine after its last whole event.
  */
 
 import type {RequestError} from '../../core/error_kinds.js';
@@ -17,7 +17,7 @@
 import type {RetryBudget} from '../../request/retry_budget.js';
 import {passThrough} from '../answers/answer_delivery.js';
 import {toTrueError} from '../answers/answer_rules.js';
-import {createCountedCalls} from './counted_calls.js';
+import {createBudgetedCalls} from './budgeted_calls.js';
 import {createEngineFailures} from './engine_failures.js';
 import type {
   EngineScheduler,
@@ -29,7 +29,7 @@
 import {createOutputForecast} from './output_forecast.js';
 import {leftMs, type JobOutcome, type RelayJob} from '../relay_types.js';
 import {relayEvents, type StreamEnd} from './stream_events.js';
-import {createStreamStart, SILENCE_MS} from './stream_start.js';
+import {createStreamStart, STALL_TIMEOUT_MS} from './stream_start.js';
 import type {StreamState} from './stream_state.js';
 import type {Upstream} from '../../core/upstream.js';
 import type {UpstreamRegistry} from '../store/upstream_registry.js';
@@ -40,7 +40,7 @@
   readonly log: Logger;
   readonly upstreamPort: UpstreamPort;
   readonly scheduler: EngineScheduler;
-  /** Finds engines for a new stream, here or at the host that places. */
+  /** Places a new stream, on this host or on the host that places for it. */
   place(
     need: StreamNeed,
     cancellation: Cancellation,
@@ -49,7 +49,7 @@
   readonly registry: UpstreamRegistry;
   readonly retryBudget: RetryBudget;
   readonly learning: SharedLearning;
-  /** A run broke off. */
+  /** Called when a run breaks off. */
   onBroken(job: RelayJob, upstream: Upstream): void;
 }
 
@@ -63,12 +63,13 @@
   const {clock, scheduler, books, retryBudget} = host;
   const forecast = createOutputForecast();
   const failures = createEngineFailures(host);
-  const calls = createCountedCalls(retryBudget);
-  const {start, moveOn, dropSource, release} = createStreamStart({
-    ...host,
-    failures,
-    calls,
-  });
+  const calls = createBudgetedCalls(retryBudget);
+  const {start, placeElsewhere, releasePrefillResult, releaseBookings} =
+    createStreamStart({
+      ...host,
+      failures,
+      calls,
+    });
 
   function toNeed(job: RelayJob): StreamNeed {
     const {request, route, service, deadlineAtMs} = job;
@@ -104,7 +105,7 @@
         caller: job.caller,
         cancellation: job.cancellation,
         wholeEventsOnly: job.route.isResumable,
-        silenceMs: canResumeAfter(state) ? SILENCE_MS : undefined,
+        stallTimeoutMs: canResumeAfter(state) ? STALL_TIMEOUT_MS : undefined,
         deadlineAtMs: job.deadlineAtMs,
         onEvent(event) {
           state.events++;
@@ -119,21 +120,21 @@
     );
   }
 
-  /** Whether the run that streams now may be followed by another. */
+  /** Returns whether another run may follow the current one. */
   function canResumeAfter(state: StreamState): boolean {
     const {isResumable, maxAttempts} = state.job.route;
     return isResumable && state.ran.length < maxAttempts;
   }
 
-  /** Places the request for a run that goes on after its last event. */
+  /** Places the request for another run that resumes after its last event. */
   function prepareNextRun(state: StreamState): boolean {
     const {decode, run} = state.placement;
-    if (!canResumeAfter(state) || !calls.canRunAgain(state)) return false;
+    if (!canResumeAfter(state) || !calls.canRetryRun(state)) return false;
     state.avoid.add(decode.id);
     state.source = undefined;
-    const madeTokens = run.outputTokens;
-    if (!moveOn(state)) return false;
-    books.grow(state.placement.run, madeTokens);
+    const outputTokens = run.outputTokens;
+    if (!placeElsewhere(state)) return false;
+    books.grow(state.placement.run, outputTokens);
     return true;
   }
 
@@ -150,7 +151,7 @@
     return {end: hasRun ? 'failed' : 'refused', reason, upstreams: state.ran};
   }
 
-  /** Runs until the stream is whole, or nothing more may be tried. */
+  /** Runs until the stream is complete or no further run is allowed. */
   async function runPlaced(state: StreamState): Promise<JobOutcome> {
     const {job} = state;
     const placedAtMs = clock.nowMs();
@@ -165,7 +166,7 @@
       }
       const {answer} = started;
       if (answer.status !== STATUS_OK) {
-        // An engine's own failure is its answer, unless another may run it.
+        // The engine's error is forwarded unless another run is allowed.
         if (prepareNextRun(state)) {
           answer.body.destroy();
           continue;
@@ -179,7 +180,7 @@
       switch (end.kind) {
         case 'whole':
           scheduler.noteSuccess(state.placement.decode.id);
-          forecast.learn(
+          forecast.recordOutput(
             job.service.name,
             state.events * (job.service.engine?.tokensPerEvent ?? 1),
           );
@@ -206,7 +207,12 @@
         case 'broken':
           scheduler.noteFailure(state.placement.decode.id);
           host.onBroken(job, state.placement.decode);
-          failures.write('Stream broke.', state, state.placement.decode, end);
+          failures.logFailure(
+            'Stream broke.',
+            state,
+            state.placement.decode,
+            end,
+          );
           if (prepareNextRun(state)) continue;
           return refuse(state, {kind: 'answer-cut', detail: end.detail});
       }
@@ -214,7 +220,7 @@
   }
 
   function withRetryAfter(error: RequestError): RequestError {
-    return {...error, retryAfterMs: error.retryAfterMs ?? SHORT_RETRY_MS};
+    return {...error, retryAfterMs: error.retryAfterMs ?? REJECTION_RETRY_MS};
   }
 
   async function deliverFailure(
@@ -236,7 +242,7 @@
     async run(job) {
       retryBudget.requestStarted(job.service.name);
       const need = toNeed(job);
-      const placedFrom = clock.nowMs();
+      const placementStartedAtMs = clock.nowMs();
       const placement = await host.place(need, job.cancellation);
       if (placement.kind === 'cancelled') {
         return {end: 'caller-gone', upstreams: []};
@@ -248,7 +254,7 @@
           end: 'refused',
           reason: `${kind}: ${detail}`,
           upstreams: [],
-          waitedMs: clock.nowMs() - placedFrom,
+          waitedMs: clock.nowMs() - placementStartedAtMs,
         };
       }
       const state: StreamState = {
@@ -258,19 +264,20 @@
         ran: [],
         avoid: new Set(),
         countedCalls: 0,
-        wasRead: false,
+        wasPrefilled: false,
         lastEventId: job.request.lastEventId,
         events: 0,
       };
       const startedAtMs = clock.nowMs();
       const outcome = await runPlaced(state);
-      // Until its engine drops it by itself, others wait for that memory.
-      dropSource(state);
-      release(state);
+      // Frees the prefill result now. Until its engine would drop it by itself,
+      // other requests would wait for that memory.
+      releasePrefillResult(state);
+      releaseBookings(state);
       return {
         ...outcome,
-        wasRead: state.wasRead,
-        waitedMs: startedAtMs - placedFrom,
+        wasPrefilled: state.wasPrefilled,
+        waitedMs: startedAtMs - placementStartedAtMs,
         firstByteMs:
           state.firstByteAtMs === undefined
             ? undefined
@@ -280,5 +287,5 @@
   };
 }
 
-/** A refusal after a rejection by engines: room comes back within this time. */
-const SHORT_RETRY_MS = 400;
+/** Engines that rejected a request have capacity again within this time. */
+const REJECTION_RETRY_MS = 400;
--- a/src/relay/streams/stream_start.ts
+++ b/src/relay/streams/stream_start.ts
@@ -1,6 +1,7 @@
 /**
- * Brings a placed stream to the head of its answer: the prompt is read by the
- * prefill engine, then the decode engine is asked, and others if it refuses.
+ * Runs a placed stream up to the head of its answer: the prefill engine computes
+ * the prompt, then the request goes to the decode engine, or to others if that
+ * one refuses it.
  */
 
 import type {RequestError} from '../../core/error_kinds.js';
@@ -12,7 +13,7 @@
   UpstreamPort,
 } from '../../ports/relay.js';
 import {isGenuine} from '../answers/answer_rules.js';
-import type {CountedCalls, Spent} from './counted_calls.js';
+import type {BudgetedCalls, RetriesExhausted} from './budgeted_calls.js';
 import type {EngineFailures} from './engine_failures.js';
 import type {EngineScheduler} from '../placement/engine_scheduler.js';
 import {createPrefillStep} from './prefill_step.js';
@@ -32,25 +33,25 @@
   readonly upstreamPort: UpstreamPort;
   readonly scheduler: EngineScheduler;
   readonly registry: UpstreamRegistry;
-  readonly calls: CountedCalls;
+  readonly calls: BudgetedCalls;
   readonly learning: SharedLearning;
   readonly failures: EngineFailures;
-  /** A run broke off. */
+  /** Called when a run breaks off. */
   onBroken(job: RelayJob, upstream: Upstream): void;
 }
 
 export interface StreamStart {
-  start(state: StreamState): Promise<Start>;
-  /** Moves the request to other engines at once; false if none has room. */
-  moveOn(state: StreamState): boolean;
-  /** Has a prefill result that nobody will take freed at its engine. */
-  dropSource(state: StreamState): void;
-  /** Frees what is booked. */
-  release(state: StreamState): void;
+  /** Resolves when the head of an answer has arrived or the start failed. */
+  start(state: StreamState): Promise<StartOutcome>;
+  /** Books other engines for the request; returns false if none has room. */
+  placeElsewhere(state: StreamState): boolean;
+  /** Has the prefill engine free a prefill result that isn't needed anymore. */
+  releasePrefillResult(state: StreamState): void;
+  /** Ends the bookings of the engines. */
+  releaseBookings(state: StreamState): void;
 }
 
-/** How far a stream came. */
-export type Start =
+export type StartOutcome =
   | {readonly kind: 'streaming'; readonly answer: UpstreamAnswer}
   | {
       readonly kind: 'failed';
@@ -60,13 +61,13 @@
     }
   | {readonly kind: 'cancelled'};
 
-/** Sends of a request that no engine has run yet. */
-const MAX_DECODE_TRIES = 4;
+/** Maximum number of sends in one start. */
+const MAX_DECODE_ATTEMPTS = 4;
 /**
- * A resumable stream that shows nothing for this long goes on elsewhere. An
+ * A resumable stream without data for this time continues on another engine. An
  * engine under preemption may pause for most of a second.
  */
-export const SILENCE_MS = 1_300;
+export const STALL_TIMEOUT_MS = 1_300;
 const DEADLINE_SLACK_MS = 60;
 
 export function createStreamStart(host: StreamStartHost): StreamStart {
@@ -75,11 +76,11 @@
 
   function sendDecode(
     state: StreamState,
-  ): Promise<UpstreamAnswer | SendFailure | Spent> {
+  ): Promise<UpstreamAnswer | SendFailure | RetriesExhausted> {
     const {job, placement} = state;
     const untilDeadlineMs = leftMs(job.deadlineAtMs, clock.nowMs());
     const headTimeoutMs = mayRunAgain(state)
-      ? Math.min(SILENCE_MS, untilDeadlineMs)
+      ? Math.min(STALL_TIMEOUT_MS, untilDeadlineMs)
       : untilDeadlineMs + DEADLINE_SLACK_MS;
     const options: SendOptions = {
       upstream: placement.decode,
@@ -95,128 +96,135 @@
     );
   }
 
-  /** Whether a run more may follow the one that is about to start. */
+  /** Returns whether another run may follow the one that is about to start. */
   function mayRunAgain(state: StreamState): boolean {
     const {isResumable, maxAttempts} = state.job.route;
     return isResumable && state.ran.length + 1 < maxAttempts;
   }
 
   /**
-   * Moves the request to another decode engine; false if none has room.
-   * Without a prefill result one is made anew: a decode engine that reads a
-   * long prompt itself holds up all of its runs beyond their pace.
+   * Books another decode engine, and a prefill engine if there is no prefill
+   * result: a decode engine that prefills a long prompt itself delays the tokens
+   * of all its runs too much.
    */
-  function moveOn(state: StreamState): boolean {
+  function placeElsewhere(state: StreamState): boolean {
     const wantsPrefill = state.source === undefined;
     const next = scheduler.placeAgain(state.need, state.avoid, wantsPrefill);
     if (!next) return false;
-    release(state);
+    releaseBookings(state);
     state.placement = next;
     return true;
   }
 
-  function dropSource(state: StreamState): void {
+  function releasePrefillResult(state: StreamState): void {
     if (state.source) upstreamPort.releasePrefill(state.source);
     state.source = undefined;
   }
 
-  function release(state: StreamState): void {
+  function releaseBookings(state: StreamState): void {
     state.placement.prefillBooking.end();
     scheduler.release(state.placement.run);
   }
 
   /**
-   * The engine did not take the request. It may be full, or the prefill
-   * result may be gone; it does not say which. First another engine is asked
-   * with the same result, then the prompt is read again.
+   * Places a request that an engine rejected. The engine may be full or may not
+   * find the prefill result; its answer doesn't distinguish these cases. So the
+   * same result is first tried on another engine, then the prompt is prefilled
+   * again.
    */
-  function afterRejection(state: StreamState, tries: number): boolean {
+  function retryAfterRejection(state: StreamState, attempt: number): boolean {
     const {placement} = state;
     scheduler.noteFull(placement.decode.id);
     state.avoid.add(placement.decode.id);
-    if (tries > 1 && state.source) {
+    if (attempt > 1 && state.source) {
       if (placement.prefill) scheduler.noteFailure(placement.prefill.id);
-      dropSource(state);
+      releasePrefillResult(state);
     }
-    return moveOn(state);
+    return placeElsewhere(state);
   }
 
-  async function start(state: StreamState): Promise<Start> {
+  async function start(state: StreamState): Promise<StartOutcome> {
     const {job} = state;
     let failure: RequestError = {kind: 'no-upstream', detail: 'None had room.'};
-    for (let tries = 1; tries <= MAX_DECODE_TRIES; tries++) {
+    for (let attempt = 1; attempt <= MAX_DECODE_ATTEMPTS; attempt++) {
       if (job.cancellation.isCancelled) return {kind: 'cancelled'};
-      // A run that began before the withdrawal may be gone on with.
+      // A run that started before the withdrawal may be resumed.
       if (state.ran.length === 0 && job.admitted.isWithdrawn()) {
         return notRun(KEY_WITHDRAWN);
       }
       if (!state.source && state.placement.prefill) {
-        const read = await prefillStep.run(state);
+        const prefillOutcome = await prefillStep.run(state);
         if (job.cancellation.isCancelled) return {kind: 'cancelled'};
-        if (read.kind === 'spent') return notRun(toOverload(read));
-        if (read.kind === 'read') state.source = read.source;
+        if (prefillOutcome.kind === 'retries-exhausted')
+          return notRun(toOverload(prefillOutcome));
+        if (prefillOutcome.kind === 'read')
+          state.source = prefillOutcome.source;
       }
       const {decode} = state.placement;
-      // Draining may have begun while the prompt was read.
+      // The engine may have started to drain during the prefill.
       const isOpen = registry
         .open(job.service.name)
         .some(each => each.id === decode.id);
-      const outcome: UpstreamAnswer | SendFailure | Spent = isOpen
+      const outcome: UpstreamAnswer | SendFailure | RetriesExhausted = isOpen
         ? await sendDecode(state)
-        : {kind: 'unreachable', detail: 'the engine leaves'};
-      if (outcome.kind === 'spent') return notRun(toOverload(outcome));
+        : {kind: 'unreachable', detail: 'the engine is draining'};
+      if (outcome.kind === 'retries-exhausted')
+        return notRun(toOverload(outcome));
       if (outcome.kind !== 'answered') {
-        failures.write('Send failed.', state, decode, outcome);
+        failures.logFailure('Send failed.', state, decode, outcome);
       }
       switch (outcome.kind) {
         case 'answered':
           scheduler.noteTaken(decode.id);
-          return takeHead(state, outcome);
+          return acceptAnswer(state, outcome);
         case 'cancelled':
           return outcome;
         case 'broken':
           state.ran.push(decode.id);
           host.onBroken(job, decode);
-          failures.note(decode, outcome);
+          failures.record(decode, outcome);
           failure = {kind: 'upstream-failed', detail: outcome.detail};
           return {kind: 'failed', error: failure, mayHaveRun: true};
         case 'unreachable':
-          if (isOpen) failures.note(decode, outcome);
+          if (isOpen) failures.record(decode, outcome);
           state.avoid.add(decode.id);
           failure = {kind: 'no-upstream', detail: outcome.detail};
-          if (!moveOn(state)) return notRun(failure);
+          if (!placeElsewhere(state)) return notRun(failure);
           break;
         case 'withheld': {
           const {detail, retryAfterMs} = outcome;
-          failures.note(decode, outcome);
+          failures.record(decode, outcome);
           state.avoid.add(decode.id);
           failure = {kind: 'overloaded', detail, retryAfterMs};
-          if (!moveOn(state)) return notRun(failure);
+          if (!placeElsewhere(state)) return notRun(failure);
           break;
         }
         case 'rejected':
-          failures.note(decode, outcome);
+          failures.record(decode, outcome);
           failure = {kind: 'overloaded', detail: outcome.detail};
-          if (!afterRejection(state, tries)) return notRun(failure);
+          if (!retryAfterRejection(state, attempt)) return notRun(failure);
           break;
       }
     }
     return notRun(failure);
   }
 
-  const toOverload = ({detail}: Spent): RequestError => ({
+  const toOverload = ({detail}: RetriesExhausted): RequestError => ({
     kind: 'overloaded',
     detail,
   });
 
-  function notRun(error: RequestError): Start {
+  function notRun(error: RequestError): StartOutcome {
     return {kind: 'failed', error, mayHaveRun: false};
   }
 
-  function takeHead(state: StreamState, answer: UpstreamAnswer): Start {
+  function acceptAnswer(
+    state: StreamState,
+    answer: UpstreamAnswer,
+  ): StartOutcome {
     const {decode} = state.placement;
     state.ran.push(decode.id);
-    // The engine has taken it with the request.
+    // The engine has taken over the prefill result with the request.
     state.source = undefined;
     if (isGenuine(answer)) return {kind: 'streaming', answer};
     answer.body.destroy();
@@ -225,11 +233,11 @@
       kind: 'failed',
       error: {
         kind: 'upstream-failed',
-        detail: `status ${answer.status} without proof`,
+        detail: `status ${answer.status} without a signature`,
       },
       mayHaveRun: true,
     };
   }
 
-  return {start, moveOn, dropSource, release};
+  return {start, placeElsewhere, releasePrefillResult, releaseBookings};
 }
--- a/src/relay/streams/stream_state.ts
+++ b/src/relay/streams/stream_state.ts
@@ -1,4 +1,4 @@
-/** What one stream has been through so far, shared by the steps that run it. */
+/** State of one stream, shared by the steps that run it. */
 
 import type {PrefillResultPlace} from '../../ports/relay.js';
 import type {Placement, StreamNeed} from '../placement/engine_scheduler.js';
@@ -8,16 +8,16 @@
   readonly job: RelayJob;
   readonly need: StreamNeed;
   placement: Placement;
-  /** Engines that may have run it, in order. */
+  /** Engines that may have run the request, in order. */
   readonly ran: string[];
-  /** Engines not to be asked again. */
+  /** Engines that must not be chosen again. */
   readonly avoid: Set<string>;
-  /** The prompt as a prefill engine read it, until it is used. */
+  /** The prefill result of the prompt, until a decode engine takes it over. */
   source?: PrefillResultPlace;
-  /** Calls so far that the service counts. */
+  /** Calls that count towards the retry budget. */
   countedCalls: number;
-  /** An engine has read the prompt for it. */
-  wasRead: boolean;
+  /** Whether a prefill engine has computed the prompt. */
+  wasPrefilled: boolean;
   lastEventId?: string;
   events: number;
   firstByteAtMs?: number;
--- a/tests/relay/streams/prefill_step_test.ts
+++ b/tests/relay/streams/prefill_step_test.ts
@@ -3,7 +3,7 @@
 import {createVirtualClock} from '../../../src/core/virtual_clock.js';
 import type {PrefillOutcome, UpstreamPort} from '../../../src/ports/relay.js';
 import {createCancellation} from '../../../src/relay/front/cancellation.js';
-import {createCountedCalls} from '../../../src/relay/streams/counted_calls.js';
+import {createBudgetedCalls} from '../../../src/relay/streams/budgeted_calls.js';
 import {createEngineFailures} from '../../../src/relay/streams/engine_failures.js';
 import {createPrefillStep} from '../../../src/relay/streams/prefill_step.js';
 import type {RelayJob} from '../../../src/relay/relay_types.js';
@@ -14,17 +14,17 @@
 
 const service = makeService(30_000);
 
-const READERS = ['p1', 'p2', 'p3', 'p4', 'p5'];
+const PREFILL_ENGINE_IDS = ['p1', 'p2', 'p3', 'p4', 'p5'];
 
-/** Prefill engines that all end a call in the same way. */
-async function playPrefill(
+/** Runs the step with prefill engines that all end a call in the same way. */
+async function runPrefill(
   end: PrefillOutcome,
   retries: number,
   backlogTokens = 0,
 ) {
   const clock = createVirtualClock(1_000);
   const {registry, books, learning, scheduler} = makeLoneScheduler(clock, [
-    ...READERS,
+    ...PREFILL_ENGINE_IDS,
     'd1',
   ]);
   const cancellation = createCancellation();
@@ -56,7 +56,7 @@
     upstreamPort,
     scheduler,
     learning,
-    calls: createCountedCalls(budget),
+    calls: createBudgetedCalls(budget),
     failures: createEngineFailures({
       clock,
       log: silentLog,
@@ -82,49 +82,49 @@
     ran: [],
     avoid: new Set(),
     countedCalls: 0,
-    wasRead: false,
+    wasPrefilled: false,
     events: 0,
   };
   const outcome = await step.run(state);
-  const booked = READERS.reduce(
+  const bookedTokens = PREFILL_ENGINE_IDS.reduce(
     (sum, id) => sum + books.prefillLoad(id).tokens,
     0,
   );
-  return {outcome, calls, booked, headTimeoutMs};
+  return {outcome, calls, bookedTokens, headTimeoutMs};
 }
 
 const REFUSAL: PrefillOutcome = {kind: 'rejected', reason: 'full', detail: ''};
 
-test('a prompt that no prefill engine takes leaves nothing booked', async () => {
-  // Prefill engines stand idle: after three refusals the next engine was
-  // booked and never asked, so that it looked busy with that prompt for ever.
-  const {outcome, calls, booked} = await playPrefill(REFUSAL, 10);
+test('a prompt that no prefill engine accepts leaves no booking', async () => {
+  // Guards against a booking without a call. After three refusals the next
+  // engine was booked but never called, so it looked busy forever and idled.
+  const {outcome, calls, bookedTokens} = await runPrefill(REFUSAL, 10);
   assert.equal(outcome.kind, 'not-read');
   assert.equal(calls, 3);
-  assert.equal(booked, 0);
+  assert.equal(bookedTokens, 0);
 });
 
-test('a prompt is not asked for again when the retries are used up', async () => {
-  const {outcome, calls, booked} = await playPrefill(REFUSAL, 1);
-  assert.equal(outcome.kind, 'spent');
+test('a prefill is not retried when the retry budget is used up', async () => {
+  const {outcome, calls, bookedTokens} = await runPrefill(REFUSAL, 1);
+  assert.equal(outcome.kind, 'retries-exhausted');
   assert.equal(calls, 2);
-  assert.equal(booked, 0);
+  assert.equal(bookedTokens, 0);
 });
 
-test('engines that could not be reached cost no retry', async () => {
+test('unreachable engines cost no retry', async () => {
   const end: PrefillOutcome = {kind: 'unreachable', detail: 'refused'};
-  const {outcome, calls, booked} = await playPrefill(end, 0);
+  const {outcome, calls, bookedTokens} = await runPrefill(end, 0);
   assert.equal(outcome.kind, 'not-read');
   assert.equal(calls, 3);
-  assert.equal(booked, 0);
+  assert.equal(bookedTokens, 0);
 });
 
-test('an engine with a long backlog is waited for', async () => {
-  // Guards against prompts that are given up just before they are read, each
-  // then read once more elsewhere.
+test('an engine with a long backlog gets a longer timeout', async () => {
+  // Guards against prefills that time out shortly before they end and are then
+  // repeated on another engine.
   const end: PrefillOutcome = {kind: 'prefilled', handle: 'h'};
-  const idle = await playPrefill(end, 0);
-  const busy = await playPrefill(end, 0, 80_000);
+  const idle = await runPrefill(end, 0);
+  const busy = await runPrefill(end, 0, 80_000);
   assert.equal(idle.headTimeoutMs, 1_500);
   assert.ok(busy.headTimeoutMs > (2 * 80_000) / 40, `${busy.headTimeoutMs}`);
 });
