--- a/src/relay/front/caller.ts
+++ b/src/relay/front/caller.ts
@@ -1,25 +1,25 @@
-/** The caller's side of one request, as the tasks that run it see it. */
+/** Interface to the caller of one request, for the tasks that run the request. */
 
 import type {RequestError} from '../../core/error_kinds.js';
 import type {RawHeaders} from '../../ports/relay.js';
 
 export interface Caller {
-  /** Begins the answer of an upstream. */
+  /** Sends the head of an upstream's answer. */
   begin(status: number, headers: RawHeaders, bodyLength?: number): void;
-  /** False when the caller reads slowly; `onWritable` tells when to go on. */
+  /** Returns false if the caller should first wait for `onWritable`. */
   write(bytes: Buffer): boolean;
-  /** The answer is whole. */
+  /** Completes the answer. */
   end(): void;
-  /** Ends the connection so that the answer shows as incomplete. */
+  /** Closes the connection, so that the caller sees an incomplete answer. */
   cut(): void;
-  /** Answers with an error of our own; only before `begin`. */
+  /** Answers with an error of the relay; only allowed before `begin`. */
   refuse(error: RequestError): void;
   readonly hasBegun: boolean;
-  /** The caller's connection closed before the answer was whole. */
-  onGone(listener: () => void): void;
+  /** Calls `listener` if the connection closes before the answer is complete. */
+  onDisconnect(listener: () => void): void;
   onWritable(listener: () => void): void;
 }
 
-/** How a request ended, for logs and metrics. */
+/** Outcome of a request, for logs and metrics. */
 export type RequestEnd =
   'answered' | 'refused' | 'failed' | 'cut' | 'caller-gone';
--- a/src/relay/front/cancellation.ts
+++ b/src/relay/front/cancellation.ts
@@ -1,4 +1,4 @@
-/** A cancellation that its owner triggers, once. */
+/** A cancellation that its owner can trigger once. */
 
 import type {Cancellation} from '../../ports/relay.js';
 
--- a/src/relay/front/host_directory.ts
+++ b/src/relay/front/host_directory.ts
@@ -1,15 +1,15 @@
 /**
- * Which entries callers should use: those that are ready, this host among
- * them. Pure but for what it reads from its host.
+ * Selects the entries that callers should use: the ready hosts, including this
+ * one. Pure except for what it reads from `HostDirectoryHost`.
  */
 
 import type {Random} from '../../ports/random.js';
 import type {Member} from '../fleet/members.js';
 
 export interface EntryAnswer {
-  /** `ip:port`, in no order. */
+  /** Each is `ip:port`; in no particular order. */
   readonly addresses: readonly string[];
-  /** How long a caller may keep the answer. */
+  /** Time for which a caller may cache the answer. */
   readonly ttlS: number;
 }
 
@@ -21,26 +21,26 @@
 }
 
 /**
- * A dead entry costs each caller that picks it a second, so answers are short
- * lived; asking costs an entry a fraction of a millisecond.
+ * A failed entry delays each caller that chooses it by a second, so answers are
+ * short-lived. A call for them costs an entry a fraction of a millisecond.
  */
 const TTL_S = 1.5;
 const MAX_ADDRESSES = 64;
 
-/** Some of the list, drawn at random; all if there are no more. */
-function draw<T>(list: readonly T[], count: number, random: Random): T[] {
-  const drawn = [...list];
-  const last = Math.min(count, list.length - 1);
-  for (let i = 0; i < last; i++) {
-    const other = i + random.nextInt(drawn.length - i);
-    [drawn[i], drawn[other]] = [drawn[other], drawn[i]];
+/** Returns up to `count` random elements of the list. */
+function sample<T>(list: readonly T[], count: number, random: Random): T[] {
+  const shuffled = [...list];
+  const swapCount = Math.min(count, list.length - 1);
+  for (let i = 0; i < swapCount; i++) {
+    const swapIndex = i + random.nextInt(shuffled.length - i);
+    [shuffled[i], shuffled[swapIndex]] = [shuffled[swapIndex], shuffled[i]];
   }
-  return drawn.slice(0, count);
+  return shuffled.slice(0, count);
 }
 
 /**
- * Undefined when no entry is ready. Of more entries than an answer holds each
- * answer names others, so that all get their part of the callers.
+ * Returns undefined if no entry is ready. If there are more entries than an
+ * answer holds, it contains a random selection, so that all entries get callers.
  */
 export function answerDirectory(
   host: HostDirectoryHost,
@@ -50,7 +50,7 @@
     .filter(peer => peer.state === 'ready')
     .map(peer => peer.callerAddress);
   const own = host.isReady() ? [host.callerAddress] : [];
-  const others = draw(ready, MAX_ADDRESSES - own.length, host.random);
+  const others = sample(ready, MAX_ADDRESSES - own.length, host.random);
   const addresses = [...own, ...others];
   return addresses.length > 0 ? {addresses, ttlS: TTL_S} : undefined;
 }
--- a/src/relay/front/leaving.ts
+++ b/src/relay/front/leaving.ts
@@ -1,10 +1,10 @@
 /**
- * How an entry leaves without cutting a request.
+ * Shuts an entry down without breaking off requests.
  *
- * Callers keep the directory's answer for a while, so connections and new
- * requests still come after the entry has left the answers. It serves them
- * until they stop coming; streams that could not end before the kill are sent
- * elsewhere at once, and nothing is ended before its time.
+ * Callers cache the directory's answer, so connections and requests still arrive
+ * after the entry is no longer listed. It serves them until they stop. Streams
+ * that might not end before the process is killed are refused at once, so that
+ * callers use another entry.
  */
 
 import type {Route} from '../../core/routing_types.js';
@@ -15,41 +15,41 @@
 export interface LeavingHost {
   readonly clock: Clock;
   readonly log: Logger;
-  /** Requests that have not ended. */
+  /** Returns the number of requests that haven't ended. */
   openCount(): number;
   lastRequestAtMs(): number;
-  /** Called at once when leaving begins. */
+  /** Called when leaving begins. */
   onLeave(): void;
 }
 
 export interface LeavingOptions {
-  /** From the signal until the process is killed. */
+  /** Time from the signal until the process is killed. */
   readonly graceMs: number;
 }
 
 export interface Leaving {
   start(): void;
   isLeaving(): boolean;
-  /** Why a request on the route may not begin now, if so. */
+  /** Returns an error if a request on the route may not begin now. */
   refuse(route: Route): RequestError | undefined;
-  /** Resolves with the number of requests that had not ended. */
+  /** Resolves to the number of requests that hadn't ended. */
   readonly ended: Promise<number>;
 }
 
-/** Most callers ask again within this time of the last answer they had. */
-const LINGER_MS = 2_500;
-/** No request for this long: callers have moved on. */
+/** Most callers refresh the directory's answer within this time. */
+const MIN_LEAVE_MS = 2_500;
+/** After this time without a request, callers are assumed to have moved. */
 const QUIET_MS = 400;
-const CHECK_MS = 50;
-/** The end comes this long before the kill. */
+const CHECK_INTERVAL_MS = 50;
+/** Leaving ends this long before the process is killed. */
 const KILL_MARGIN_MS = 250;
 /**
- * A stream takes some 4 s; one that begins later than this after the signal
+ * A stream takes about 4 s; one that begins later than this after the signal
  * might not end in time.
  */
-const STREAMS_UNTIL_MS = 2_000;
-/** The next entry is a new connection away. */
-const ELSEWHERE_RETRY_MS = 20;
+const STREAM_ADMISSION_MS = 2_000;
+/** A caller can connect to another entry right away. */
+const OTHER_ENTRY_RETRY_MS = 20;
 
 export function createLeaving(
   host: LeavingHost,
@@ -67,14 +67,14 @@
     const sinceMs = nowMs - (startedAtMs ?? nowMs);
     const isQuiet =
       host.openCount() === 0 && nowMs - host.lastRequestAtMs() >= QUIET_MS;
-    const isDone = sinceMs >= LINGER_MS && isQuiet;
-    const mustEnd = sinceMs >= options.graceMs - KILL_MARGIN_MS;
-    if (isDone || mustEnd) {
+    const isDone = sinceMs >= MIN_LEAVE_MS && isQuiet;
+    const isOutOfTime = sinceMs >= options.graceMs - KILL_MARGIN_MS;
+    if (isDone || isOutOfTime) {
       log.info('Left.', {openRequests: host.openCount(), afterMs: sinceMs});
       resolveEnded(host.openCount());
       return;
     }
-    clock.setTimer(CHECK_MS, check);
+    clock.setTimer(CHECK_INTERVAL_MS, check);
   }
 
   return {
@@ -89,11 +89,11 @@
     refuse(route) {
       if (startedAtMs === undefined || route.kind !== 'stream')
         return undefined;
-      if (clock.nowMs() - startedAtMs <= STREAMS_UNTIL_MS) return undefined;
+      if (clock.nowMs() - startedAtMs <= STREAM_ADMISSION_MS) return undefined;
       return {
         kind: 'shutting-down',
         detail: 'Connect to another entry.',
-        retryAfterMs: ELSEWHERE_RETRY_MS,
+        retryAfterMs: OTHER_ENTRY_RETRY_MS,
       };
     },
     ended,
--- a/src/relay/front/relay_front.ts
+++ b/src/relay/front/relay_front.ts
@@ -1,6 +1,6 @@
 /**
- * The HTTP front towards callers: reads requests whole, hands them to the
- * relay, and writes answers byte for byte.
+ * HTTP server for callers: reads whole requests, passes them to the relay and
+ * writes the answers byte for byte.
  */
 
 import http from 'node:http';
@@ -20,29 +20,29 @@
   readonly reader: RequestReader;
   readonly relay: Relay;
   limits(): CallerLimits | undefined;
-  /** Callers are told to take their next request elsewhere. */
+  /** Returns whether connections are closed after the next answer. */
   isLeaving(): boolean;
 }
 
 export interface RelayFront {
   listen(address: string): Promise<void>;
   applyLimits(limits: CallerLimits): void;
-  /** Requests being read, run or answered. */
+  /** Returns the number of requests that are being read, run or answered. */
   openCount(): number;
-  /** When the last request began. */
+  /** Returns the time at which the last request arrived. */
   lastRequestAtMs(): number;
   closeIdle(): void;
   close(): void;
 }
 
-/** Before a configuration says otherwise. */
-const FIRST_MAX_HEADER_BYTES = 64 * 1024;
-const FIRST_MAX_BODY_BYTES = 4 * 1024 * 1024;
-/** A caller that does not say how long it waits. */
+/** Limits until a configuration is known; the header limit stays in force. */
+const DEFAULT_MAX_HEADER_BYTES = 64 * 1024;
+const DEFAULT_MAX_BODY_BYTES = 4 * 1024 * 1024;
+/** Wait of a caller that sends no timeout. */
 const DEFAULT_WAIT_MS = 600_000;
 const MS_PER_SECOND = 1_000;
 
-interface ReadBody {
+interface BodyResult {
   readonly bytes?: Buffer;
   readonly error?: RequestError;
 }
@@ -52,8 +52,8 @@
   let openCount = 0;
   let lastRequestAtMs = Number.NEGATIVE_INFINITY;
 
-  function readBody(message: http.IncomingMessage): Promise<ReadBody> {
-    const maxBytes = host.limits()?.maxBodyBytes ?? FIRST_MAX_BODY_BYTES;
+  function readBody(message: http.IncomingMessage): Promise<BodyResult> {
+    const maxBytes = host.limits()?.maxBodyBytes ?? DEFAULT_MAX_BODY_BYTES;
     return new Promise(resolve => {
       const chunks: Buffer[] = [];
       let size = 0;
@@ -83,7 +83,7 @@
     const caller = createHttpCaller(response, facts.requestId, host.isLeaving);
     const body = await readBody(message);
     if (body.error) return caller.refuse(body.error);
-    // The caller left before its request was whole: nobody to answer.
+    // The caller disconnected before it had sent the whole request.
     if (!body.bytes) return;
     await relay.handle(
       {
@@ -104,14 +104,14 @@
   }
 
   const server = http.createServer(
-    {maxHeaderSize: FIRST_MAX_HEADER_BYTES, requestTimeout: 0},
+    {maxHeaderSize: DEFAULT_MAX_HEADER_BYTES, requestTimeout: 0},
     (message, response) => {
       openCount++;
       response.once('close', () => {
         openCount--;
       });
       handle(message, response).catch(error => {
-        log.error('The front failed.', {reason: String(error)});
+        log.error('The request handler failed.', {reason: String(error)});
         response.destroy();
       });
     },
@@ -139,7 +139,7 @@
   requestId: string,
   isLeaving: () => boolean,
 ): Caller {
-  const endsConnection = (): string[] =>
+  const connectionHeader = (): string[] =>
     isLeaving() ? ['Connection', 'close'] : [];
 
   function begin(
@@ -149,7 +149,7 @@
   ): void {
     const length =
       bodyLength === undefined ? [] : ['Content-Length', String(bodyLength)];
-    response.writeHead(status, [...headers, ...length, ...endsConnection()]);
+    response.writeHead(status, [...headers, ...length, ...connectionHeader()]);
   }
 
   return {
@@ -166,12 +166,16 @@
       const body = Buffer.from(JSON.stringify(problem));
       begin(
         errorAnswers[error.kind].status,
-        ['Content-Type', 'application/problem+json', ...retryAfter(error)],
+        [
+          'Content-Type',
+          'application/problem+json',
+          ...retryAfterHeader(error),
+        ],
         body.length,
       );
       response.end(body);
     },
-    onGone(listener) {
+    onDisconnect(listener) {
       response.once('close', () => {
         if (!response.writableFinished) listener();
       });
@@ -180,8 +184,8 @@
   };
 }
 
-/** In seconds with a fraction: rooms open within tenths of a second. */
-function retryAfter(error: RequestError): readonly string[] {
+/** Uses fractional seconds, since capacity is freed within tenths of a second. */
+function retryAfterHeader(error: RequestError): readonly string[] {
   if (error.retryAfterMs === undefined) return [];
   return ['Retry-After', (error.retryAfterMs / MS_PER_SECOND).toFixed(3)];
 }
--- a/src/relay/front/side_server.ts
+++ b/src/relay/front/side_server.ts
@@ -1,4 +1,4 @@
-/** Small HTTP servers beside the front: readiness, directory, metrics. */
+/** Small HTTP servers for readiness, the directory, peers and metrics. */
 
 import http from 'node:http';
 import {listenOn} from '../../adapters/listen.js';
@@ -9,7 +9,7 @@
   readonly body?: string;
 }
 
-/** Undefined for a call that is not served here. */
+/** Returns undefined for a call that isn't served here. */
 export type SideHandler = (
   method: string,
   target: string,
--- a/src/relay/relay.ts
+++ b/src/relay/relay.ts
@@ -70,7 +70,7 @@
     const service = routing.service(name);
     if (!service) return {kind: 'no-upstream', detail: 'No such service.'};
     const cancellation = createCancellation();
-    caller.onGone(() => cancellation.cancel());
+    caller.onDisconnect(() => cancellation.cancel());
     // The last check: what passes it has taken from the account's limit.
     const admitted = await host.accounts.admit(received, route);
     if (admitted.kind === 'refused') return admitted.error;
