--- a/src/relay/accounts/relay_accounts.ts
+++ b/src/relay/accounts/relay_accounts.ts
@@ -53,7 +53,9 @@
   aliveMs(): number;
   /** Returns the totals of this host, which its peers need. */
   spending(): readonly SpendingRecord[];
-  /** Returns the accounts near their limit, which a coordinator sends to all. */
+  /**
+   * Returns the accounts near their limit, which a coordinator sends to all.
+   */
   nearLimit(): readonly AccountLevel[];
   applyPeerState(peer: Peer): void;
   applySummary(fromHostId: string, summary: Summary): void;
--- a/src/relay/accounts/spending_ledger.ts
+++ b/src/relay/accounts/spending_ledger.ts
@@ -3,7 +3,8 @@
  *
  * Hosts report running totals, so a lost datagram loses no units. A new ledger
  * doesn't know the recent spending. Its buckets start neither full, which would
- * admit a burst twice, nor empty, which would refuse accounts within their rate.
+ * admit a burst twice, nor empty, which would refuse accounts within their
+ * rate.
  */
 
 import type {AccountQuota} from '../../core/routing_types.js';
@@ -39,7 +40,8 @@
   record(host: HostIncarnation, records: readonly SpendingRecord[]): void;
   /**
    * Charges the bucket for one request of the host, if it holds enough units.
-   * The host's totals include the request later and aren't charged for it again.
+   * The host's totals include the request later and aren't charged for it
+   * again.
    */
   grant(hostId: string, account: string, costUnits: number): boolean;
   /** Returns undefined for an account without a limit. */
--- a/src/relay/answers/answer_delivery.ts
+++ b/src/relay/answers/answer_delivery.ts
@@ -16,8 +16,8 @@
 
 /**
  * Forwards a body as it arrives and resolves to whether it was complete. If the
- * body breaks off, the caller's connection is closed as well, so that the answer
- * doesn't look complete.
+ * body breaks off, the caller's connection is closed as well, so that the
+ * answer doesn't look complete.
  */
 export function passThrough(
   job: RelayJob,
--- a/src/relay/backpressure/gated_upstream_port.ts
+++ b/src/relay/backpressure/gated_upstream_port.ts
@@ -1,4 +1,6 @@
-/** Wraps an upstream port so that all calls obey the limits of the upstreams. */
+/**
+ * Wraps an upstream port so that all calls obey the limits of the upstreams.
+ */
 
 import type {Clock} from '../../ports/clock.js';
 import type {Logger} from '../../ports/log.js';
--- a/src/relay/backpressure/permit_schedule.ts
+++ b/src/relay/backpressure/permit_schedule.ts
@@ -1,6 +1,6 @@
 /**
- * Schedules, at the owner of a limit, the requests of all hosts to the upstream.
- * Pure except for the clock.
+ * Schedules, at the owner of a limit, the requests of all hosts to the
+ * upstream. Pure except for the clock.
  *
  * Hosts may briefly disagree on the owner, and several owners together must not
  * exceed the rate. So a new owner starts without unused permits, and a backup
--- a/src/relay/backpressure/send_gate.ts
+++ b/src/relay/backpressure/send_gate.ts
@@ -5,7 +5,9 @@
 import type {UpstreamRests} from './upstream_rests.js';
 
 export interface SendGate {
-  /** Admits a request, with a permit of the limit's owner where one is needed. */
+  /**
+   * Admits a request, with a permit of the limit's owner where one is needed.
+   */
   admit(
     upstreamId: string,
     mostWaitMs: number,
--- a/src/relay/backpressure/upstream_limits.ts
+++ b/src/relay/backpressure/upstream_limits.ts
@@ -105,8 +105,8 @@
   }
 
   /**
-   * Ends a limit if the end is certainly newer than the limit. A false end would
-   * let all hosts send without a limit.
+   * Ends a limit if the end is certainly newer than the limit. A false end
+   * would let all hosts send without a limit.
    */
   function endLimit(
     upstreamId: string,
--- a/src/relay/backpressure/upstream_rests.ts
+++ b/src/relay/backpressure/upstream_rests.ts
@@ -2,8 +2,9 @@
  * Tracks the rest periods that upstreams ask for when they refuse a request of
  * this host. Other hosts aren't bound by them.
  *
- * An upstream that refuses quickly would otherwise attract more requests: it has
- * no outstanding calls and no slow answers, so it looks like the best choice.
+ * An upstream that refuses quickly would otherwise attract more requests: it
+ * has no outstanding calls and no slow answers, so it looks like the best
+ * choice.
  */
 
 import {createBoundedMap} from '../../core/bounded_map.js';
--- a/src/relay/crash_watch.ts
+++ b/src/relay/crash_watch.ts
@@ -1,9 +1,10 @@
 /**
- * Finds requests that crash the upstreams which run them, so that they are
- * refused before they take down one upstream after another.
+ * Detects requests that crash their upstreams and quarantines them before they
+ * crash one upstream after another.
  *
- * A run that breaks off says little: answers get lost and connections are
- * reset. It counts only when the upstream cannot be reached right after.
+ * A run that breaks off isn't enough evidence, since answers get lost and
+ * connections are reset. It counts only if the upstream is unreachable shortly
+ * afterwards.
  */
 
 import {createHash} from 'node:crypto';
@@ -21,24 +22,27 @@
 }
 
 export interface CrashWatch {
-  /** A run broke off at the upstream. */
-  noteBroken(request: RelayRequest, upstream: Upstream): void;
-  /** A run ended whole: the request is harmless. */
-  noteWhole(request: RelayRequest): void;
-  /** Whether the request has crashed too many upstreams to be run again. */
+  /** Records that a run broke off at the upstream. */
+  recordFailure(request: RelayRequest, upstream: Upstream): void;
+  /** Records that a run completed, so the request is harmless. */
+  recordSuccess(request: RelayRequest): void;
+  /**
+   * Returns whether the request has crashed too many upstreams to run again.
+   */
   isQuarantined(request: RelayRequest): boolean;
-  /** Losses for the peers. */
+  /** Returns losses of upstreams, to send to peers. */
   facts(): readonly LossFact[];
-  learn(facts: readonly LossFact[]): void;
+  /** Applies losses that a peer sent. */
+  applyFacts(facts: readonly LossFact[]): void;
 }
 
-/** A crashed upstream's port is closed by then; it is back after seconds. */
-const PROBE_AFTER_MS = 50;
-/** Named in each datagram; more suspects at once are not to be expected. */
+/** A crashed upstream has closed its port by then and restarts in seconds. */
+const PROBE_DELAY_MS = 50;
+/** Maximum number in a datagram; more suspects at once aren't expected. */
 const MAX_FACTS = 16;
 const FINGERPRINT_DIGITS = 24;
 
-/** The same for each time that the caller sends the request. */
+/** Returns a fingerprint that is the same each time the request is sent. */
 export function fingerprintOf(request: RelayRequest): string {
   return createHash('sha1')
     .update(`${request.method} ${request.host} ${request.target}\n`)
@@ -50,14 +54,14 @@
 export function createCrashWatch(host: CrashWatchHost): CrashWatch {
   const {clock, log, upstreamPort, quarantine} = host;
 
-  async function probe(
+  async function blameIfUnreachable(
     request: RelayRequest,
     upstream: Upstream,
   ): Promise<void> {
     if (await upstreamPort.isReachable(upstream)) return;
     const fingerprint = fingerprintOf(request);
     const verdict = quarantine.blame(fingerprint, upstream.id);
-    log.warn('An upstream was lost with a request.', {
+    log.warn('Upstream became unreachable during a request.', {
       request: request.requestId,
       upstream: upstream.id,
       fingerprint,
@@ -68,10 +72,13 @@
   const hasSuspects = () => quarantine.facts().length > 0;
 
   return {
-    noteBroken(request, upstream) {
-      clock.setTimer(PROBE_AFTER_MS, () => void probe(request, upstream));
+    recordFailure(request, upstream) {
+      clock.setTimer(
+        PROBE_DELAY_MS,
+        () => void blameIfUnreachable(request, upstream),
+      );
     },
-    noteWhole(request) {
+    recordSuccess(request) {
       if (hasSuspects()) quarantine.clear(fingerprintOf(request));
     },
     isQuarantined(request) {
@@ -79,7 +86,7 @@
       return quarantine.verdict(fingerprintOf(request)) === 'quarantined';
     },
     facts: () => quarantine.facts().slice(-MAX_FACTS),
-    learn(facts) {
+    applyFacts(facts) {
       for (const fact of facts) quarantine.learn(fact);
     },
   };
--- a/src/relay/front/caller.ts
+++ b/src/relay/front/caller.ts
@@ -1,4 +1,6 @@
-/** Interface to the caller of one request, for the tasks that run the request. */
+/**
+ * Interface to the caller of one request, for the tasks that run the request.
+ */
 
 import type {RequestError} from '../../core/error_kinds.js';
 import type {RawHeaders} from '../../ports/relay.js';
@@ -15,7 +17,9 @@
   /** Answers with an error of the relay; only allowed before `begin`. */
   refuse(error: RequestError): void;
   readonly hasBegun: boolean;
-  /** Calls `listener` if the connection closes before the answer is complete. */
+  /**
+   * Calls `listener` if the connection closes before the answer is complete.
+   */
   onDisconnect(listener: () => void): void;
   onWritable(listener: () => void): void;
 }
--- a/src/relay/front/host_directory.ts
+++ b/src/relay/front/host_directory.ts
@@ -40,7 +40,8 @@
 
 /**
  * Returns undefined if no entry is ready. If there are more entries than an
- * answer holds, it contains a random selection, so that all entries get callers.
+ * answer holds, it contains a random selection, so that all entries get
+ * callers.
  */
 export function answerDirectory(
   host: HostDirectoryHost,
--- a/src/relay/front/leaving.ts
+++ b/src/relay/front/leaving.ts
@@ -1,10 +1,10 @@
 /**
  * Shuts an entry down without breaking off requests.
  *
- * Callers cache the directory's answer, so connections and requests still arrive
- * after the entry is no longer listed. It serves them until they stop. Streams
- * that might not end before the process is killed are refused at once, so that
- * callers use another entry.
+ * Callers cache the directory's answer, so connections and requests still
+ * arrive after the entry is no longer listed. It serves them until they stop.
+ * Streams that might not end before the process is killed are refused at once,
+ * so that callers use another entry.
  */
 
 import type {Route} from '../../core/routing_types.js';
--- a/src/relay/front/relay_front.ts
+++ b/src/relay/front/relay_front.ts
@@ -184,7 +184,9 @@
   };
 }
 
-/** Uses fractional seconds, since capacity is freed within tenths of a second. */
+/**
+ * Uses fractional seconds, since capacity is freed within tenths of a second.
+ */
 function retryAfterHeader(error: RequestError): readonly string[] {
   if (error.retryAfterMs === undefined) return [];
   return ['Retry-After', (error.retryAfterMs / MS_PER_SECOND).toFixed(3)];
--- a/src/relay/relay.ts
+++ b/src/relay/relay.ts
@@ -1,6 +1,6 @@
 /**
- * The way of a caller's request, as calls in order: configuration, route,
- * deadline, service, and the task that runs it.
+ * Handles a caller's request: checks that it may run, finds its route, service,
+ * account and deadline, and runs it as a plain request or as a stream.
  */
 
 import type {Route} from '../core/routing_types.js';
@@ -30,17 +30,17 @@
   readonly streams: StreamRelay;
   readonly crashes: CrashWatch;
   readonly accounts: AccountAdmission;
-  /** Undefined while requests of this length may begin. */
+  /** Returns an error if this host is leaving and the request can't begin. */
   refuseForLeaving(route: Route): RequestError | undefined;
 }
 
 export interface Relay {
-  /** Resolves once the request has ended. */
+  /** Resolves when the request has ended. */
   handle(request: RelayRequest, caller: Caller): Promise<void>;
   activeCount(): number;
 }
 
-/** A process learns the configuration within this time of its start. */
+/** A process receives the configuration within this time after its start. */
 const NO_CONFIGURATION_RETRY_MS = 500;
 
 export function createRelay(host: RelayHost): Relay {
@@ -54,7 +54,7 @@
     if (!routing.current()) {
       return {
         kind: 'configuration-missing',
-        detail: 'Ask again in a moment.',
+        detail: 'Retry in a moment.',
         retryAfterMs: NO_CONFIGURATION_RETRY_MS,
       };
     }
@@ -62,16 +62,17 @@
     const route = routing.match(received.host, path);
     if (!route) return {kind: 'unknown-route', detail: path.slice(0, 80)};
     if (host.crashes.isQuarantined(received)) {
-      return {kind: 'quarantined', detail: 'It is not run again.'};
+      return {kind: 'quarantined', detail: 'The request is not run again.'};
     }
     const leaving = host.refuseForLeaving(route);
     if (leaving) return leaving;
     const name = chooseService(route, random);
     const service = routing.service(name);
-    if (!service) return {kind: 'no-upstream', detail: 'No such service.'};
+    if (!service)
+      return {kind: 'no-upstream', detail: 'The service does not exist.'};
     const cancellation = createCancellation();
     caller.onDisconnect(() => cancellation.cancel());
-    // The last check: what passes it has taken from the account's limit.
+    // This must be the last check, since it charges the account's limit.
     const admitted = await host.accounts.admit(received, route);
     if (admitted.kind === 'refused') return admitted.error;
     const waitMs = Math.min(received.waitMs, route.timeoutMs);
@@ -142,11 +143,12 @@
       activeCount++;
       try {
         const outcome = await run(admitted);
-        if (outcome.end === 'answered') host.crashes.noteWhole(request);
+        if (outcome.end === 'answered') host.crashes.recordSuccess(request);
         logOutcome(request, admitted, outcome);
       } catch (error) {
-        // A fault of ours must not leave a caller waiting to its deadline.
-        log.error('A request failed in the router.', {
+        // An internal error must not leave the caller waiting until its
+        // deadline.
+        log.error('Internal error in a request.', {
           request: request.requestId,
           reason: error instanceof Error ? error.stack : String(error),
         });
--- a/src/relay/relay_adapters.ts
+++ b/src/relay/relay_adapters.ts
@@ -1,4 +1,4 @@
-/** A platform's own names and formats, behind the product's ports. */
+/** Adapters that a platform provides for its names and formats. */
 
 import type {HttpExchange} from '../adapters/http_exchange.js';
 import type {Clock} from '../ports/clock.js';
@@ -15,7 +15,7 @@
 import type {EntryAnswer} from './front/host_directory.js';
 import type {SideHandler} from './front/side_server.js';
 
-/** What the platform's calls to this process ask for. */
+/** State of this process that the platform and callers can query. */
 export interface SideFacts {
   isReady(): boolean;
   entries(): EntryAnswer | undefined;
@@ -32,7 +32,7 @@
     readonly exchange: HttpExchange;
     readonly storeAddress: string;
     readonly log: Logger;
-    /** Told of the era that an answer of the store names. */
+    /** Called with the era in each answer of the store. */
     readonly onEra: (era: number) => void;
   }): RelaySources;
   createSideHandler(facts: SideFacts): SideHandler;
@@ -42,6 +42,6 @@
   readonly routingSource: RoutingSource;
   readonly upstreamSource: UpstreamSource;
   readonly hostRegistry: HostRegistry;
-  /** Where leases lie. */
+  /** The table that stores the leases. */
   readonly leaseTable: TablePort;
 }
--- a/src/relay/relay_gauges.ts
+++ b/src/relay/relay_gauges.ts
@@ -1,4 +1,4 @@
-/** What a relay process shows of its state, as gauges. */
+/** Gauges that show the state of a relay process. */
 
 import type {UpstreamLimits} from './backpressure/upstream_limits.js';
 import type {PeerExchange} from './fleet/peer_exchange_types.js';
@@ -12,7 +12,7 @@
 import type {StoreWatch} from './store/store_watch.js';
 import type {UpstreamRegistry} from './store/upstream_registry.js';
 
-/** Parts of the process whose state is shown. */
+/** Parts of the process that the gauges read. */
 export interface GaugeSources {
   readonly relay: Relay;
   readonly peers: PeerExchange;
@@ -35,72 +35,72 @@
 const GAUGES: readonly Gauge[] = [
   {
     name: 'active_requests',
-    help: 'Requests that run.',
+    help: 'Requests in progress.',
     read: ({relay}) => relay.activeCount(),
   },
   {
     name: 'peers_alive',
-    help: 'Live hosts but this one.',
+    help: 'Live hosts except this one.',
     read: ({peers}) => peers.alive().length,
   },
   {
     name: 'peers_heard',
-    help: 'Live hosts that this one hears itself.',
+    help: 'Live hosts that send their state directly to this host.',
     read: ({peers}) => peers.heard().length,
   },
   {
     name: 'is_coordinator',
-    help: 'Hears all hosts and tells them who lives, 0 or 1.',
+    help: 'Whether this host is a coordinator of the membership, 0 or 1.',
     read: ({peers}) => Number(peers.isCoordinator()),
   },
   {
     name: 'is_following',
-    help: 'Is told who lives by a coordinator that hears all, 0 or 1.',
+    help: 'Whether this host gets the membership from a coordinator, 0 or 1.',
     read: ({peers}) => Number(peers.isFollowing()),
   },
   {
     name: 'is_reader',
-    help: 'Reads the store for other hosts, 0 or 1.',
+    help: 'Whether this host reads the store for other hosts, 0 or 1.',
     read: ({readers}) => Number(readers.isReader()),
   },
   {
     name: 'is_placer',
-    help: 'Places for other hosts, 0 or 1.',
+    help: 'Whether this host places requests for other hosts, 0 or 1.',
     read: ({placement}) => Number(placement.isPlacer()),
   },
   {
     name: 'configuration_version',
-    help: 'In force.',
+    help: 'Version of the configuration in force.',
     read: ({routing}) => routing.version(),
   },
   {
     name: 'store_era',
-    help: 'How often the store came back from an older copy, as it says.',
+    help: 'Era of the store: how often it reports a restore from an older copy.',
     read: ({storeEra}) => storeEra.current(),
   },
   {
     name: 'upstream_list_revision',
-    help: 'The number of the store at the list that is gone by.',
+    help: 'Counter of the store revision of the upstream list in use.',
     read: ({registry}) => registry.revision().counter,
   },
   {
     name: 'lists_left_out',
-    help: 'Lists of upstreams that were read and not taken.',
+    help: 'Upstream lists that were rejected as older than the one in use.',
     read: ({registry}) => registry.leftOutCount(),
   },
   {
     name: 'upstream_list_age_ms',
-    help: 'Age of the list.',
+    help: 'Age of the upstream list.',
     read: ({watch}) => watch.listAgeMs(),
   },
   {
     name: 'kept_upstreams',
-    help: 'Missing entries of the list that may come back.',
+    help: 'Upstreams missing from the list that are kept, as they may return.',
     read: ({registry}) => registry.keptCount(),
   },
   {
     name: 'kept_calls',
-    help: 'Calls that run or wait by the word of this host.',
+    help: 'Calls that run or wait in slots that this host manages.',
     read: ({plainPlaces}) => plainPlaces.keptCount(),
   },
   {
@@ -110,12 +110,15 @@
   },
   {
     name: 'waiting_streams',
-    help: 'Streams that wait for engines.',
+    help: 'Streams that are waiting for engines.',
     read: ({placement}) => placement.scheduler.announcements().length,
   },
 ];
 
-export function showGauges(metrics: RelayMetrics, sources: GaugeSources): void {
+export function registerGauges(
+  metrics: RelayMetrics,
+  sources: GaugeSources,
+): void {
   for (const {name, help, read} of GAUGES) {
     metrics.gauge(name, help, () => read(sources));
   }
--- a/src/relay/relay_metrics.ts
+++ b/src/relay/relay_metrics.ts
@@ -1,7 +1,7 @@
 /**
- * Counters and latency histograms of the relay as text in Prometheus' format.
- * Written here since the usual library takes 13 MB, more than all the rest of
- * the serving path, and this path needs only counters and fixed buckets.
+ * Counters, gauges and latency histograms in the Prometheus text format. The
+ * usual client library isn't used: it takes 13 MB, more than the rest of the
+ * serving path, which needs only counters and fixed buckets.
  */
 
 import type {RouteKind} from '../core/routing_types.js';
@@ -15,31 +15,31 @@
     durationMs: number,
   ): void;
   count(name: CounterName, labels?: string): void;
-  /** Read at each scrape. */
+  /** Registers a gauge; `read` is called at each scrape. */
   gauge(name: string, help: string, read: () => number): void;
   render(): string;
 }
 
-/** Every counter with its help text; labels are bounded by the caller. */
+/** Counters and their help texts. */
 const COUNTERS = {
   requests: 'Requests that ended, by service, kind and end.',
   upstream_connections: 'Connections opened to upstreams and the store.',
   store_calls: 'Calls to the platform store, by call and outcome.',
-  log_lines_dropped: 'Log lines that were left out.',
-  account_refusals: 'Requests refused for their key or limit, by reason.',
-  upstream_signals: 'Answers in which upstreams say something of themselves.',
-  sends_withheld: 'Sends held back as upstreams ask for less, by reason.',
+  log_lines_dropped: 'Log lines that were dropped.',
+  account_refusals: 'Requests refused by key or account limit, by reason.',
+  upstream_signals: 'Backpressure signals in answers of upstreams, by signal.',
+  sends_withheld: 'Sends held back on account of backpressure, by reason.',
   role_orders: 'Orders to engines to change their role, by outcome.',
 } as const;
 
 export type CounterName = keyof typeof COUNTERS;
 
 const PREFIX = 'corianderbend_relay_';
-/** Upper bounds in ms, from a plain call to the longest stream. */
+/** Upper bounds that cover plain calls up to the longest stream. */
 const BUCKETS_MS = [
   10, 25, 50, 100, 250, 500, 900, 2_000, 5_000, 15_000,
 ] as const;
-/** Labels beyond this share one series: names come from configurations. */
+/** Bounds the series, since labels hold names from the configuration. */
 const MAX_SERIES = 200;
 
 interface Histogram {
--- a/src/relay/relay_process.ts
+++ b/src/relay/relay_process.ts
@@ -1,6 +1,6 @@
 /**
- * One relay process, put together: from the store and the peers over the
- * configuration and the upstreams to the callers, as calls in order.
+ * Creates and connects the parts of a relay process: store, peers,
+ * configuration and upstreams first, then the servers for callers.
  */
 
 import {createHttpExchange} from '../adapters/http_exchange.js';
@@ -32,7 +32,7 @@
 import {applyPlainUpstreams} from './plain/plain_upstreams.js';
 import {createRelay} from './relay.js';
 import type {RelayAdapters} from './relay_adapters.js';
-import {showGauges} from './relay_gauges.js';
+import {registerGauges} from './relay_gauges.js';
 import {createRelayPlacement} from './placement/relay_placement.js';
 import {createRelayFront} from './front/relay_front.js';
 import type {RelayMetrics} from './relay_metrics.js';
@@ -59,22 +59,23 @@
 
 export interface RelayProcess {
   leave(): void;
-  /** Resolves with the number of requests that were cut, 0 as a rule. */
+  /** Resolves to the number of requests that were broken off, normally 0. */
   readonly ended: Promise<number>;
 }
 
 /**
- * The slack of retries is for all hosts together. A host that has just started
- * or is cut off hears of few others, and must not take their part.
+ * Minimum host count for this host's share of `retrySlack`, which is for all
+ * hosts together. A host that has just started or is partitioned knows few
+ * other hosts and must not use their shares.
  */
-const FEWEST_HOSTS = 14;
+const MIN_HOST_COUNT = 14;
 
-/** What is empty as a rule costs no byte of a datagram. */
-function unlessEmpty<T>(list: readonly T[]): readonly T[] | undefined {
+/** Saves space in datagrams for lists that are usually empty. */
+function undefinedIfEmpty<T>(list: readonly T[]): readonly T[] | undefined {
   return list.length > 0 ? list : undefined;
 }
 
-/** Resolves once the process serves. */
+/** Resolves when the process accepts requests. */
 export async function startRelay(
   options: RelayProcessOptions,
 ): Promise<RelayProcess> {
@@ -122,12 +123,12 @@
     },
     settings,
   );
-  const stayingPeerIds = createDerivedList(
+  const remainingPeerIds = createDerivedList(
     () => peers.alive(),
     alive =>
       alive.filter(({state}) => state !== 'leaving').map(({hostId}) => hostId),
   );
-  const stayingIds = createDerivedList(stayingPeerIds, ids => [
+  const remainingHostIds = createDerivedList(remainingPeerIds, ids => [
     settings.hostId,
     ...ids,
   ]);
@@ -138,8 +139,9 @@
     metrics,
     hostId: settings.hostId,
     registry,
-    // A host that leaves gives its limits away, its own needs among them.
-    hostIds: () => (leaving.isLeaving() ? stayingPeerIds() : stayingIds()),
+    // A leaving host owns no limits, not even for its own requests.
+    hostIds: () =>
+      leaving.isLeaving() ? remainingPeerIds() : remainingHostIds(),
     send: (hostId, message) => peers.tell(hostId, message),
     onChange: () => peers.changed('coordinators'),
   });
@@ -201,8 +203,8 @@
         ...ownFindings(),
         full: scheduler.full(),
         losses: crashes.facts(),
-        limits: unlessEmpty(backpressure.limits.ownRecords()),
-        leaving: unlessEmpty(registry.leaving('self')),
+        limits: undefinedIfEmpty(backpressure.limits.ownRecords()),
+        leaving: undefinedIfEmpty(registry.leaving('self')),
         adoptedAskIds: placement.adoptedAskIds(),
         spending: accounts.spending(),
         aliveMs: accounts.aliveMs(),
@@ -213,8 +215,8 @@
         ...placement.found(ownFindings()),
         learned: learning.total(),
         losses: crashes.facts(),
-        limits: unlessEmpty(backpressure.limits.found()),
-        leaving: unlessEmpty(registry.leaving('any')),
+        limits: undefinedIfEmpty(backpressure.limits.found()),
+        leaving: undefinedIfEmpty(registry.leaving('any')),
         load: hasLoad ? books.total() : undefined,
         accountLevels: accounts.nearLimit(),
       }),
@@ -222,20 +224,20 @@
         placement.heard(peer);
         accounts.applyPeerState(peer);
         watch.hear(peer);
-        crashes.learn(peer.losses);
+        crashes.applyFacts(peer.losses);
         backpressure.limits.applyRecords(peer.limits ?? [], 'peer');
-        learnLeaving(peer);
+        markLeaving(peer);
         if (peer.unreachable.length > MOST_SUSPECTS) return;
-        learnUnreachable(peer.unreachable);
+        markUnreachable(peer.unreachable);
       },
       onSummary(fromHostId, summary) {
         placement.told(fromHostId, summary);
         accounts.applySummary(fromHostId, summary);
         watch.hear(summary);
-        crashes.learn(summary.losses);
+        crashes.applyFacts(summary.losses);
         backpressure.limits.applyRecords(summary.limits ?? [], 'relayed');
-        learnLeaving(summary);
-        learnUnreachable(summary.unreachable);
+        markLeaving(summary);
+        markUnreachable(summary.unreachable);
       },
       onMembers: placement.refresh,
       isNear: placement.isNear,
@@ -261,7 +263,7 @@
     {
       ...self,
       peerAddress: settings.peerAddress,
-      // Ports are the same on all hosts; a seed may name that of another use.
+      // All hosts use the same peer port, but a seed may contain another port.
       seedAddresses: settings.seedAddresses.map(
         seed => `${splitAddress(seed).ip}:${peerPort}`,
       ),
@@ -299,7 +301,7 @@
   });
   const retryBudget = createRetryBudget({
     burst() {
-      const hostCount = Math.max(FEWEST_HOSTS, peers.knownCount() + 1);
+      const hostCount = Math.max(MIN_HOST_COUNT, peers.knownCount() + 1);
       return Math.max(1, settings.retrySlack / hostCount);
     },
     ratioOf: () => settings.retryRatio,
@@ -324,12 +326,12 @@
     quarantine: createQuarantine({
       clock,
       spread: () => peers.changed('coordinators'),
-      // An upstream has a new id with each start, so an id dies once.
+      // An upstream gets a new id at each start, so each id is lost only once.
       lossIdOf: upstreamId => upstreamId,
     }),
   });
   const onBroken = (job: RelayJob, upstream: Upstream) =>
-    crashes.noteBroken(job.request, upstream);
+    crashes.recordFailure(job.request, upstream);
   const shared = {clock, upstreamPort, registry, retryBudget, onBroken};
   const roleOrders = createRoleOrders(
     {
@@ -353,7 +355,7 @@
       isPlanner: () =>
         hostState() === 'ready' &&
         watch.isStoreReachable() &&
-        findPlanner() === settings.hostId,
+        findPlannerId() === settings.hostId,
       onChange: () => peers.changed('coordinators'),
     },
     {hostId: settings.hostId},
@@ -404,21 +406,25 @@
     isLeaving: leaving.isLeaving,
   });
 
-  /** What one host found out need not cost each other host a request. */
-  function learnUnreachable(unreachable: readonly string[]): void {
+  /** Applies the peers' findings, so that they cost this host no request. */
+  function markUnreachable(unreachable: readonly string[]): void {
     for (const id of unreachable) registry.markUnreachable(id, 'peer');
   }
 
-  /** In an outage of the store the list does not show who leaves. */
-  function learnLeaving({leaving: ids = []}: UpstreamFindings): void {
+  /**
+   * Applies what peers found, since the list isn't updated in a store outage.
+   */
+  function markLeaving({leaving: ids = []}: UpstreamFindings): void {
     for (const id of ids) registry.markLeaving(id, 'peer');
   }
 
   /**
-   * A host that the store serves, for it gets the lease, and that hears all.
-   * The last of these: the first ones place for others as a rule.
+   * Returns the host that plans role orders. It must be a store reader: it
+   * needs the store for the lease, and readers receive the state of all hosts.
+   * The last one is chosen, since the first ones usually place requests for
+   * other hosts.
    */
-  function findPlanner(): string | undefined {
+  function findPlannerId(): string | undefined {
     const ready = new Set([settings.hostId]);
     for (const {hostId, state} of peers.alive()) {
       if (state === 'ready') ready.add(hostId);
@@ -483,7 +489,9 @@
     front.applyLimits(limits);
     placement.refresh();
     applyUpstreams();
-    // Many hosts take it over at once; the coordinators have it before them.
+    // A reader announces a new version to all hosts. Others announce it only to
+    // nearby hosts: many apply it at once, and the coordinators have it
+    // already.
     peers.changed(readers.isReader() ? 'all' : 'near');
   });
   let announcedDigest: number | undefined;
@@ -499,7 +507,7 @@
     if (readers.isReader()) peers.changed('coordinators');
   });
 
-  showGauges(metrics, {
+  registerGauges(metrics, {
     relay,
     peers,
     readers,
--- a/src/relay/relay_settings.ts
+++ b/src/relay/relay_settings.ts
@@ -1,38 +1,38 @@
 /**
- * What a relay process knows of itself, from its host file.
+ * Settings of a relay process, from its host file.
  *
- * The file is YAML. One that is written in YAML's JSON subset and is complete
- * is read without the YAML and schema libraries: together they take 25 MB and
- * a third of a second at each start. Everything else goes to the full reader,
- * which names each mistake with its place.
+ * The file is YAML. A complete file in YAML's JSON subset is read without the
+ * YAML and schema libraries, which take 25 MB and a third of a second at each
+ * start. Other files go to the full reader, which reports each error and its
+ * position.
  */
 
 export interface RelaySettings {
   readonly hostId: string;
   readonly failureDomain: string;
-  /** Where callers connect, `ip:port`. */
+  /** Address that callers connect to, `ip:port`. */
   readonly callerAddress: string;
-  /** Where the platform asks whether this entry is ready. */
+  /** Address at which the platform checks whether this entry is ready. */
   readonly readyAddress: string;
-  /** Where callers ask which entries to use. */
+  /** Address at which callers get the list of entries. */
   readonly directoryAddress: string;
   readonly metricsAddress: string;
-  /** UDP and TCP, between our own processes. */
+  /** Address for traffic between relay processes, UDP and TCP. */
   readonly peerAddress: string;
-  /** Addresses of other hosts; their ports may be those of another use. */
+  /** Addresses of other hosts; only the IP is used, not the port. */
   readonly seedAddresses: readonly string[];
   readonly storeAddress: string;
-  /** Retries that a service may cost, for each request to it. */
+  /** Retries allowed per request to a service. */
   readonly retryRatio: number;
-  /** Retries that a service may cost in any window, for all hosts together. */
+  /** Additional retries per service in any window, for all hosts together. */
   readonly retrySlack: number;
-  /** From the signal to leave until the process is killed. */
+  /** Time from the signal to leave until the process is killed. */
   readonly leaveGraceMs: number;
-  /** How long the holder of a lease may act without renewing it. */
+  /** Time for which the holder of a lease may act without a renewal. */
   readonly leaseMs: number;
   /**
-   * A withdrawn key works nowhere later than this after its withdrawal; absent
-   * where hosts out of touch may go on.
+   * Maximum time for which a key works on any host after its withdrawal. Absent
+   * if hosts without a current configuration may go on accepting keys.
    */
   readonly keyWithdrawalMs?: number;
 }
@@ -66,7 +66,7 @@
   keyWithdrawalMs: isAmountOrAbsent,
 };
 
-/** Undefined when the text is not complete, well-typed JSON. */
+/** Returns undefined if the text isn't JSON with all fields of valid types. */
 export function readJsonRelaySettings(text: string): RelaySettings | undefined {
   const value = parseJson(text);
   if (typeof value !== 'object' || value === null) return undefined;
@@ -81,7 +81,7 @@
   try {
     return JSON.parse(text);
   } catch {
-    // Any other YAML is for the full reader.
+    // The full reader handles any other YAML.
     return undefined;
   }
 }
--- a/src/relay/relay_settings_reader.ts
+++ b/src/relay/relay_settings_reader.ts
@@ -1,4 +1,4 @@
-/** The full reader of a relay's host file: YAML, with numbered diagnostics. */
+/** Full reader of a relay's host file: YAML, with numbered diagnostics. */
 
 import {z} from 'zod';
 import {sortDiagnostics, type Diagnostic} from '../core/diagnostics.js';
@@ -15,21 +15,28 @@
   .regex(/^.+:\d{1,5}$/, {error: 'an address like 10.0.0.1:7100'});
 const amount = z.number().min(0);
 
-/** Unknown keys are reported; the process that serves ignores them. */
+/** Reports unknown keys, which the JSON reader ignores. */
 export const relaySettingsSchema = z.strictObject({
-  hostId: z.string().min(1).describe('Name of the host, unique among all.'),
-  failureDomain: z.string().min(1).describe('The domain it stands in.'),
+  hostId: z
+    .string()
+    .min(1)
+    .describe('Name of the host, unique among all hosts.'),
+  failureDomain: z.string().min(1).describe('Failure domain of the host.'),
   callerAddress: address.describe('Address that callers connect to.'),
   readyAddress: address.describe('Answers whether this entry is ready.'),
   directoryAddress: address.describe('Answers which entries to use.'),
   metricsAddress: address.describe('Serves the metrics page.'),
-  peerAddress: address.describe('Between our own processes, UDP and TCP.'),
+  peerAddress: address.describe(
+    'Traffic between relay processes, UDP and TCP.',
+  ),
   seedAddresses: z.array(address).describe('Other hosts; some may be down.'),
   storeAddress: address.describe("The platform's store."),
   retryRatio: amount.describe('Retries allowed for each request.'),
-  retrySlack: amount.describe('Retries allowed beside, for all hosts.'),
-  leaveGraceMs: amount.describe('From the signal to leave until the kill.'),
-  leaseMs: amount.describe('Life of a lease that is not renewed.'),
+  retrySlack: amount.describe('Additional retries, for all hosts together.'),
+  leaveGraceMs: amount.describe(
+    'Time from the signal to leave until the kill.',
+  ),
+  leaseMs: amount.describe('Time until a lease without renewal expires.'),
   keyWithdrawalMs: amount
     .optional()
     .describe('Longest time that a withdrawn key works anywhere.'),
--- a/src/relay/relay_types.ts
+++ b/src/relay/relay_types.ts
@@ -1,4 +1,4 @@
-/** What the tasks of the relay share. */
+/** Types, constants and helpers that the tasks of the relay share. */
 
 import type {Route, Service} from '../core/routing_types.js';
 import type {RequestError} from '../core/error_kinds.js';
@@ -6,45 +6,47 @@
 import type {AdmittedAccount} from './accounts/account_admission.js';
 import type {Caller, RequestEnd} from './front/caller.js';
 
-/** One admitted request on its way. */
+/** An admitted request that is being run. */
 export interface RelayJob {
   readonly request: RelayRequest;
   readonly route: Route;
   readonly service: Service;
   readonly caller: Caller;
-  /** Ends when the caller has gone. */
+  /** Triggered when the caller disconnects. */
   readonly cancellation: Cancellation;
-  /** When the caller or the route stops waiting, whichever is first. */
+  /** Earlier of the caller's and the route's deadline. */
   readonly deadlineAtMs: number;
   readonly admitted: AdmittedAccount;
 }
 
-/** What became of a job; one log line is written from it. */
+/** Outcome of a job, from which one log line is written. */
 export interface JobOutcome {
   readonly end: RequestEnd;
-  /** Status towards the caller, where one was sent. */
+  /** Status sent to the caller, if any. */
   readonly status?: number;
-  /** Why it was refused, failed or cut. */
+  /** Why the request was refused, failed or broken off. */
   readonly reason?: string;
-  /** Upstreams that may have run it, in order. */
+  /** Upstreams that may have run the request, in order. */
   readonly upstreams: readonly string[];
   readonly waitedMs?: number;
   readonly firstByteMs?: number;
   readonly events?: number;
-  /** An engine has read the prompt for it. */
+  /** Whether a prefill engine has computed the prompt. */
   readonly wasPrefilled?: boolean;
 }
 
-/** A connection within a region is made in some 10 ms; more is a dark host. */
+/**
+ * Connecting within a region takes about 10 ms; a slower host is taken as down.
+ */
 export const CONNECT_TIMEOUT_MS = 300;
 
-/** The key was valid when the request was taken, and no upstream ran it. */
+/** Error for a key withdrawn after admission, before any upstream ran it. */
 export const KEY_WITHDRAWN: RequestError = {
   kind: 'unauthenticated',
   detail: 'The key was withdrawn.',
 };
 
-/** Time left until `atMs`, never negative. */
+/** Returns the time left until `atMs`, never negative. */
 export function leftMs(atMs: number, nowMs: number): number {
   return Math.max(0, atMs - nowMs);
 }
--- a/src/relay/routing.ts
+++ b/src/relay/routing.ts
@@ -1,14 +1,14 @@
 /**
- * Routes by host and path prefix, as the operator configures them, and the
- * choice of a route and of a service. Pure.
+ * Chooses the route of a request by host and path prefix, and the service by
+ * weight, as configured by the operator. Pure.
  */
 
 import type {Route} from '../core/routing_types.js';
 import type {Random} from '../ports/random.js';
 
-/** Routes made ready for look-ups. */
+/** Routes, indexed for look-ups. */
 export interface RouteTable {
-  /** The route with the longest prefix of `path` among those of `host`. */
+  /** Returns the route of `host` with the longest prefix of `path`. */
   match(host: string, path: string): Route | undefined;
 }
 
@@ -16,8 +16,8 @@
   const byHost = new Map<string, Route[]>();
   for (const route of routes) {
     const key = route.host.toLowerCase();
-    const known = byHost.get(key);
-    if (known) known.push(route);
+    const routesOfHost = byHost.get(key);
+    if (routesOfHost) routesOfHost.push(route);
     else byHost.set(key, [route]);
   }
   for (const ofHost of byHost.values()) {
@@ -31,12 +31,12 @@
   };
 }
 
-/** The host of a `Host` header; an IPv6 number keeps its brackets. */
+/** Removes the port of a `Host` header; an IPv6 address keeps its brackets. */
 function withoutPort(host: string): string {
   return host.replace(/:\d*$/, '');
 }
 
-/** Draws one of the route's services by weight. */
+/** Chooses one of the route's services at random by weight. */
 export function chooseService(route: Route, random: Random): string {
   const {targets} = route;
   if (targets.length === 1) return targets[0].service;
--- a/src/relay/routing_state.ts
+++ b/src/relay/routing_state.ts
@@ -1,9 +1,8 @@
 /**
- * The configuration in force in this process.
+ * Holds the configuration in force in this process.
  *
- * Guards against going back: an older version may arrive after a newer one,
- * from a slow read or a peer that lags. A process that acted on a version
- * never takes an older one for as long as it lives.
+ * An older version may arrive after a newer one, from a slow read or a peer
+ * that lags behind. A process never goes back to an older version.
  */
 
 import type {Route, Routing, Service} from '../core/routing_types.js';
@@ -19,12 +18,14 @@
 
 export interface RoutingState {
   current(): Routing | undefined;
-  /** 0 while none is known. */
+  /** Returns the version in force, or 0 if there is none. */
   version(): number;
   match(host: string, path: string): Route | undefined;
   service(name: string): Service | undefined;
   accounts(): AccountTable;
-  /** False for a version that is not newer than the one in force. */
+  /**
+   * Applies a version and returns true if it is newer than the one in force.
+   */
   offer(routing: Routing, origin: RoutingOrigin): boolean;
   /** Calls `listener` after each change. */
   onChange(listener: (routing: Routing) => void): void;
--- a/src/relay/streams/event_framer.ts
+++ b/src/relay/streams/event_framer.ts
@@ -1,8 +1,8 @@
 /**
  * Splits the bytes of an event stream into whole events.
  *
- * An engine may fail in the middle of an event. A resumable stream forwards only
- * whole events, so that the first event of the next run doesn't follow a
+ * An engine may fail in the middle of an event. A resumable stream forwards
+ * only whole events, so that the first event of the next run doesn't follow a
  * truncated one.
  */
 
--- a/src/relay/streams/stream_start.ts
+++ b/src/relay/streams/stream_start.ts
@@ -1,7 +1,7 @@
 /**
- * Runs a placed stream up to the head of its answer: the prefill engine computes
- * the prompt, then the request goes to the decode engine, or to others if that
- * one refuses it.
+ * Runs a placed stream up to the head of its answer: the prefill engine
+ * computes the prompt, then the request goes to the decode engine, or to others
+ * if that one refuses it.
  */
 
 import type {RequestError} from '../../core/error_kinds.js';
@@ -104,8 +104,8 @@
 
   /**
    * Books another decode engine, and a prefill engine if there is no prefill
-   * result: a decode engine that prefills a long prompt itself delays the tokens
-   * of all its runs too much.
+   * result: a decode engine that prefills a long prompt itself delays the
+   * tokens of all its runs too much.
    */
   function placeElsewhere(state: StreamState): boolean {
     const wantsPrefill = state.source === undefined;
--- a/tests/relay/backpressure/limit_fleet.ts
+++ b/tests/relay/backpressure/limit_fleet.ts
@@ -1,7 +1,7 @@
 /**
- * Simulates hosts that share a few upstreams, some with limits, in virtual time.
- * Datagrams are delayed and may be lost, and hosts may fail, restart or be
- * partitioned.
+ * Simulates hosts that share a few upstreams, some with limits, in virtual
+ * time. Datagrams are delayed and may be lost, and hosts may fail, restart or
+ * be partitioned.
  */
 
 import {createSeededRandom} from '../../../src/core/seeded_random.js';
--- a/tests/relay/crash_watch_test.ts
+++ b/tests/relay/crash_watch_test.ts
@@ -53,27 +53,27 @@
   return {clock, watch};
 }
 
-test('a request that crashes upstreams is refused, at the peers, too', async () => {
-  // One request takes down each engine that runs it, and its caller sends it
-  // again at any entry, until no engine is left.
+test('a request that crashes upstreams is quarantined on this host and its peers', async () => {
+  // Guards against a request that crashes each engine that runs it, and that
+  // its caller sends again to other entries until no engine is left.
   const {clock, watch} = makeWatch(() => false);
   const poison = makeRequest('/poison');
   for (const id of ['e1', 'e2']) {
-    watch.noteBroken(poison, makeUpstream(id));
+    watch.recordFailure(poison, makeUpstream(id));
     await clock.advance(100);
   }
   assert.equal(watch.isQuarantined(poison), true);
   assert.equal(watch.isQuarantined(makeRequest('/harmless')), false);
   const peer = makeWatch(() => true);
-  peer.watch.learn(watch.facts());
+  peer.watch.applyFacts(watch.facts());
   assert.equal(peer.watch.isQuarantined(poison), true);
 });
 
-test('answers that get lost while the upstream lives blame nobody', async () => {
+test('a request is not quarantined for lost answers of reachable upstreams', async () => {
   const {clock, watch} = makeWatch(() => true);
   const request = makeRequest('/unlucky');
   for (const id of ['e1', 'e2', 'e3']) {
-    watch.noteBroken(request, makeUpstream(id));
+    watch.recordFailure(request, makeUpstream(id));
     await clock.advance(100);
   }
   assert.equal(watch.isQuarantined(request), false);
