--- a/src/relay/accounts/quota_rules.ts
+++ b/src/relay/accounts/quota_rules.ts
@@ -46,10 +46,9 @@
   if (levelUnits >= quota.burstUnits * UNRESTRICTED_LEVEL_SHARE) {
     return Number.POSITIVE_INFINITY;
   }
-  const admissibleUnitsPerS = quota.unitsPerS + levelUnits / LEVEL_HORIZON_S;
-  if (offeredUnitsPerS <= 0)
-    return admissibleUnitsPerS > 0 ? Number.POSITIVE_INFINITY : 0;
-  return Math.max(0, admissibleUnitsPerS / offeredUnitsPerS);
+  const roomPerS = quota.unitsPerS + levelUnits / LEVEL_HORIZON_S;
+  if (offeredUnitsPerS <= 0) return roomPerS > 0 ? Number.POSITIVE_INFINITY : 0;
+  return Math.max(0, roomPerS / offeredUnitsPerS);
 }
 
 /**
--- a/src/relay/accounts/relay_accounts.ts
+++ b/src/relay/accounts/relay_accounts.ts
@@ -82,7 +82,7 @@
   }
 
   function receive(fromHostId: string, message: QuotaMessage): void {
-    if (message.kind === 'quota-ask') responder.receive(fromHostId, message);
+    if (message.kind === 'quota-ask') server.receive(fromHostId, message);
     else client.receive(fromHostId, message);
   }
 
@@ -96,7 +96,7 @@
     firstAskId,
     tell,
   });
-  const responder = createAskDesk<QuotaRequest, QuotaReply>({
+  const server = createAskDesk<QuotaRequest, QuotaReply>({
     clock,
     decide: (fromHostId, request) =>
       handleQuotaRequest(ledger, fromHostId, request),
--- a/src/relay/accounts/spending_ledger.ts
+++ b/src/relay/accounts/spending_ledger.ts
@@ -163,7 +163,7 @@
         : {incarnation, byAccount: new Map(), granted: new Map()};
       const {byAccount} = ofHost;
       totals.set(hostId, ofHost);
-      // A new ledger receives totals of hosts that have run for hours.
+      // The first totals of a host may cover hours of spending.
       const isRecent = isKnown || aliveMs < NEW_HOST_MS;
       for (const record of records) {
         const before = byAccount.get(record.account);
--- a/src/relay/backpressure/backpressure.ts
+++ b/src/relay/backpressure/backpressure.ts
@@ -71,7 +71,7 @@
     client,
     owners,
   });
-  const responder = createAskDesk<PermitRequest, PermitReply>({
+  const server = createAskDesk<PermitRequest, PermitReply>({
     clock,
     decide: limitGate.handleRequest,
     tell: host.send,
@@ -91,7 +91,7 @@
       },
     },
     receive(fromHostId, message) {
-      if (message.kind === 'permit-ask') responder.receive(fromHostId, message);
+      if (message.kind === 'permit-ask') server.receive(fromHostId, message);
       else client.receive(fromHostId, message);
     },
   };
--- a/src/relay/relay.ts
+++ b/src/relay/relay.ts
@@ -68,8 +68,7 @@
     if (leaving) return leaving;
     const name = chooseService(route, random);
     const service = routing.service(name);
-    if (!service)
-      return {kind: 'no-upstream', detail: 'The service does not exist.'};
+    if (!service) return {kind: 'no-upstream', detail: 'No such service.'};
     const cancellation = createCancellation();
     caller.onDisconnect(() => cancellation.cancel());
     // This must be the last check, since it charges the account's limit.
--- a/src/relay/relay_metrics.ts
+++ b/src/relay/relay_metrics.ts
@@ -20,7 +20,7 @@
   render(): string;
 }
 
-/** Counters and their help texts. */
+/** Counters and their help texts; callers bound the number of labels. */
 const COUNTERS = {
   requests: 'Requests that ended, by service, kind and end.',
   upstream_connections: 'Connections opened to upstreams and the store.',
@@ -39,7 +39,7 @@
 const BUCKETS_MS = [
   10, 25, 50, 100, 250, 500, 900, 2_000, 5_000, 15_000,
 ] as const;
-/** Bounds the series, since labels hold names from the configuration. */
+/** Further labels share one series; they hold names from configurations. */
 const MAX_SERIES = 200;
 
 interface Histogram {
--- a/src/relay/streams/budgeted_calls.ts
+++ b/src/relay/streams/budgeted_calls.ts
@@ -13,8 +13,8 @@
 import type {StreamState} from './stream_state.js';
 
 /** The call wasn't made, since the retry budget is used up. */
-export type RetriesExhausted = {
-  readonly kind: 'retries-exhausted';
+export type NoRetries = {
+  readonly kind: 'no-retries';
   readonly detail: string;
 };
 
@@ -23,18 +23,18 @@
   prefill(
     state: StreamState,
     call: () => Promise<PrefillOutcome>,
-  ): Promise<PrefillOutcome | RetriesExhausted>;
+  ): Promise<PrefillOutcome | NoRetries>;
   /** Makes a call that runs the request at a decode engine. */
   run<Answer extends {readonly kind: 'answered'}>(
     state: StreamState,
     call: () => Promise<Answer | SendFailure>,
-  ): Promise<Answer | SendFailure | RetriesExhausted>;
+  ): Promise<Answer | SendFailure | NoRetries>;
   /** Returns whether the budget allows one more run and its prefill. */
   canRetryRun(state: StreamState): boolean;
 }
 
-const RETRIES_EXHAUSTED: RetriesExhausted = {
-  kind: 'retries-exhausted',
+const NO_RETRIES: NoRetries = {
+  kind: 'no-retries',
   detail: 'The retries of the service are used up.',
 };
 const NOT_SENT_KINDS: ReadonlySet<string> = new Set<SendFailure['kind']>([
@@ -49,10 +49,10 @@
     state: StreamState,
     call: () => Promise<Outcome>,
     isCounted: (outcome: Outcome) => boolean,
-  ): Promise<Outcome | RetriesExhausted> {
+  ): Promise<Outcome | NoRetries> {
     const service = state.job.service.name;
     const isRetry = state.countedCalls > 0;
-    if (isRetry && !budget.tryTake(service)) return RETRIES_EXHAUSTED;
+    if (isRetry && !budget.tryTake(service)) return NO_RETRIES;
     const outcome = await call();
     // A call that was never sent costs the engines nothing.
     if (!NOT_SENT_KINDS.has(outcome.kind) && isCounted(outcome)) {
--- a/src/relay/streams/prefill_step.ts
+++ b/src/relay/streams/prefill_step.ts
@@ -7,7 +7,7 @@
   SendOptions,
   UpstreamPort,
 } from '../../ports/relay.js';
-import type {BudgetedCalls, RetriesExhausted} from './budgeted_calls.js';
+import type {BudgetedCalls, NoRetries} from './budgeted_calls.js';
 import type {EngineFailures} from './engine_failures.js';
 import type {
   EngineScheduler,
@@ -31,7 +31,7 @@
   | {readonly kind: 'read'; readonly source: PrefillResultPlace}
   /** The decode engine has to prefill the prompt itself. */
   | {readonly kind: 'not-read'}
-  | RetriesExhausted;
+  | NoRetries;
 
 export interface PrefillStep {
   run(state: StreamState): Promise<PrefillStepOutcome>;
@@ -70,7 +70,7 @@
     );
     const wasAlone = booking.isAlone();
     booking.end();
-    if (outcome.kind === 'retries-exhausted') return outcome;
+    if (outcome.kind === 'no-retries') return outcome;
     if (outcome.kind === 'rejected') scheduler.noteFull(engine.id);
     if (outcome.kind !== 'prefilled') {
       failures.record(engine, outcome);
@@ -95,9 +95,8 @@
       let engine = placement.prefill;
       let booking = placement.prefillBooking;
       while (engine) {
-        const outcome = await prefillAt(state, engine, booking);
-        if (outcome.kind === 'read' || outcome.kind === 'retries-exhausted')
-          return outcome;
+        const end = await prefillAt(state, engine, booking);
+        if (end.kind === 'read' || end.kind === 'no-retries') return end;
         tried.add(engine.id);
         // An engine that is booked below must be called: a booking that is
         // never ended makes the engine look busy forever.
--- a/src/relay/streams/stream_start.ts
+++ b/src/relay/streams/stream_start.ts
@@ -13,7 +13,7 @@
   UpstreamPort,
 } from '../../ports/relay.js';
 import {isGenuine} from '../answers/answer_rules.js';
-import type {BudgetedCalls, RetriesExhausted} from './budgeted_calls.js';
+import type {BudgetedCalls, NoRetries} from './budgeted_calls.js';
 import type {EngineFailures} from './engine_failures.js';
 import type {EngineScheduler} from '../placement/engine_scheduler.js';
 import {createPrefillStep} from './prefill_step.js';
@@ -76,7 +76,7 @@
 
   function sendDecode(
     state: StreamState,
-  ): Promise<UpstreamAnswer | SendFailure | RetriesExhausted> {
+  ): Promise<UpstreamAnswer | SendFailure | NoRetries> {
     const {job, placement} = state;
     const untilDeadlineMs = leftMs(job.deadlineAtMs, clock.nowMs());
     const headTimeoutMs = mayRunAgain(state)
@@ -153,23 +153,20 @@
         return notRun(KEY_WITHDRAWN);
       }
       if (!state.source && state.placement.prefill) {
-        const prefillOutcome = await prefillStep.run(state);
+        const prefill = await prefillStep.run(state);
         if (job.cancellation.isCancelled) return {kind: 'cancelled'};
-        if (prefillOutcome.kind === 'retries-exhausted')
-          return notRun(toOverload(prefillOutcome));
-        if (prefillOutcome.kind === 'read')
-          state.source = prefillOutcome.source;
+        if (prefill.kind === 'no-retries') return notRun(toOverload(prefill));
+        if (prefill.kind === 'read') state.source = prefill.source;
       }
       const {decode} = state.placement;
       // The engine may have started to drain during the prefill.
       const isOpen = registry
         .open(job.service.name)
         .some(each => each.id === decode.id);
-      const outcome: UpstreamAnswer | SendFailure | RetriesExhausted = isOpen
+      const outcome: UpstreamAnswer | SendFailure | NoRetries = isOpen
         ? await sendDecode(state)
         : {kind: 'unreachable', detail: 'the engine is draining'};
-      if (outcome.kind === 'retries-exhausted')
-        return notRun(toOverload(outcome));
+      if (outcome.kind === 'no-retries') return notRun(toOverload(outcome));
       if (outcome.kind !== 'answered') {
         failures.logFailure('Send failed.', state, decode, outcome);
       }
@@ -209,7 +206,7 @@
     return notRun(failure);
   }
 
-  const toOverload = ({detail}: RetriesExhausted): RequestError => ({
+  const toOverload = ({detail}: NoRetries): RequestError => ({
     kind: 'overloaded',
     detail,
   });
--- a/tests/relay/accounts/quota_fleet.ts
+++ b/tests/relay/accounts/quota_fleet.ts
@@ -111,7 +111,7 @@
       firstAskId,
       tell,
     });
-    const responder = createAskDesk<QuotaRequest, QuotaReply>({
+    const server = createAskDesk<QuotaRequest, QuotaReply>({
       clock,
       decide: (from, request) => handleQuotaRequest(ledger, from, request),
       tell,
@@ -132,8 +132,7 @@
       ledger,
       self,
       receive(fromHostId, message) {
-        if (message.kind === 'quota-ask')
-          responder.receive(fromHostId, message);
+        if (message.kind === 'quota-ask') server.receive(fromHostId, message);
         else client.receive(fromHostId, message);
       },
     };
--- a/tests/relay/backpressure/limit_fleet.ts
+++ b/tests/relay/backpressure/limit_fleet.ts
@@ -24,10 +24,10 @@
 const WORK_MS = 20;
 const MESH_STATE_INTERVAL_MS = 250;
 const STATE_INTERVAL_MS = 600;
-const RECORDS_INTERVAL_MS = 500;
+const RELAY_MS = 500;
 /** Time until the other hosts detect that a host has failed. */
 const DETECTION_MS = 2_200;
-const COORDINATOR_COUNT = 3;
+const COORDINATORS = 3;
 /** A host must obey a limit within this time after it received the limit. */
 const REACTION_MS = 500;
 
@@ -43,7 +43,7 @@
   readonly hostId: string;
   readonly backpressure: Backpressure;
   /** By upstream: when the host first received an answer with a limit. */
-  readonly limitReceivedAtMs: Map<string, number>;
+  readonly limitedAtMs: Map<string, number>;
   /** Until then, requests of this host aren't counted. */
   exemptUntilMs: number;
 }
@@ -156,7 +156,7 @@
       index,
       hostId,
       backpressure,
-      limitReceivedAtMs: new Map(),
+      limitedAtMs: new Map(),
       exemptUntilMs: 0,
     };
   }
@@ -182,11 +182,11 @@
 
   function sendOwnRecords(from: number): void {
     const records = hosts[from].backpressure.limits.ownRecords();
-    const to = isMesh ? hosts : hosts.slice(0, COORDINATOR_COUNT);
+    const to = isMesh ? hosts : hosts.slice(0, COORDINATORS);
     sendToAll(from, to, records, 'peer');
   }
 
-  function sendFoundRecords(from: number): void {
+  function relayRecords(from: number): void {
     const records = hosts[from].backpressure.limits.found();
     sendToAll(from, hosts, records, 'relayed');
   }
@@ -203,16 +203,14 @@
     repeat(isMesh ? MESH_STATE_INTERVAL_MS : STATE_INTERVAL_MS, () =>
       sendOwnRecords(i),
     );
-    if (!isMesh && i < COORDINATOR_COUNT)
-      repeat(RECORDS_INTERVAL_MS, () => sendFoundRecords(i));
+    if (!isMesh && i < COORDINATORS) repeat(RELAY_MS, () => relayRecords(i));
   }
 
   function arrive(host: FleetHost, upstreamId: string, sentAtMs: number): void {
     const nowMs = clock.nowMs();
-    const limitReceivedAtMs =
-      host.limitReceivedAtMs.get(upstreamId) ?? Infinity;
+    const limitedAtMs = host.limitedAtMs.get(upstreamId) ?? Infinity;
     const isCounted =
-      nowMs - limitReceivedAtMs >= REACTION_MS && nowMs >= host.exemptUntilMs;
+      nowMs - limitedAtMs >= REACTION_MS && nowMs >= host.exemptUntilMs;
     arrivals.push({upstreamId, atMs: nowMs, isCounted});
     clock.setTimer(WORK_MS, () => {
       const limitPerS = limits.get(upstreamId);
@@ -220,9 +218,8 @@
         if (hosts[host.index] !== host || deadSinceMs.has(host.index)) return;
         const upstream = byId.get(upstreamId)!;
         host.backpressure.signals.heard(upstream, {limitPerS}, sentAtMs);
-        if (limitPerS === undefined || host.limitReceivedAtMs.has(upstreamId))
-          return;
-        host.limitReceivedAtMs.set(upstreamId, clock.nowMs());
+        if (limitPerS === undefined || host.limitedAtMs.has(upstreamId)) return;
+        host.limitedAtMs.set(upstreamId, clock.nowMs());
       });
     });
   }
--- a/tests/relay/streams/prefill_step_test.ts
+++ b/tests/relay/streams/prefill_step_test.ts
@@ -106,7 +106,7 @@
 
 test('a prefill is not retried when the retry budget is used up', async () => {
   const {outcome, calls, bookedTokens} = await runPrefill(REFUSAL, 1);
-  assert.equal(outcome.kind, 'retries-exhausted');
+  assert.equal(outcome.kind, 'no-retries');
   assert.equal(calls, 2);
   assert.equal(bookedTokens, 0);
 });
