--- a/src/relay/relay_process.ts
+++ b/src/relay/relay_process.ts
@@ -458,7 +458,7 @@
     return isServing ? 'ready' : 'starting';
   }
 
-  const sideHandler = adapters.createSideHandler({
+  const auxiliaryHandler = adapters.createSideHandler({
     isReady: () => hostState() === 'ready',
     entries: () =>
       answerDirectory({
@@ -468,9 +468,9 @@
         peers: peers.alive,
       }),
   });
-  const sideServers = [
-    {address: settings.readyAddress, handler: sideHandler},
-    {address: settings.directoryAddress, handler: sideHandler},
+  const auxiliaryServers = [
+    {address: settings.readyAddress, handler: auxiliaryHandler},
+    {address: settings.directoryAddress, handler: auxiliaryHandler},
     {address: settings.peerAddress, handler: handover.handler},
     {
       address: settings.metricsAddress,
@@ -521,7 +521,8 @@
   });
 
   await front.listen(settings.callerAddress);
-  for (const {address, server} of sideServers) await server.listen(address);
+  for (const {address, server} of auxiliaryServers)
+    await server.listen(address);
   peers.start();
   watch.start();
   handover.start();
@@ -535,7 +536,7 @@
     watch.stop();
     peers.stop();
     front.close();
-    for (const {server} of sideServers) server.close();
+    for (const {server} of auxiliaryServers) server.close();
     exchange.close();
     datagrams.close();
     log.info('Stopped.', {hostId, openRequests: openCount});
