--- a/src/relay/accounts/account_admission.ts
+++ b/src/relay/accounts/account_admission.ts
@@ -102,7 +102,7 @@
       account: account?.name,
       ageMs: toFiniteMs(freshness.ageMs()),
     });
-    const detail = 'This entry cannot verify the key at present.';
+    const detail = 'This entry cannot tell whether the key is valid.';
     const retryAfterMs = UNCONFIRMED_RETRY_MS;
     const kind = 'configuration-unconfirmed';
     return refuse({kind, detail, retryAfterMs}, account);
--- a/src/relay/backpressure/gated_upstream_port.ts
+++ b/src/relay/backpressure/gated_upstream_port.ts
@@ -66,7 +66,7 @@
     });
     return {
       kind: 'withheld',
-      detail: 'The upstream accepts no more requests for now.',
+      detail: 'The upstream takes no more for now.',
       scope: by === 'rest' ? 'this-host' : 'all-hosts',
       retryAfterMs: spreadRetryAfterMs(waitMs, Infinity, random.nextFloat()),
     };
--- a/src/relay/placement/placement_desk.ts
+++ b/src/relay/placement/placement_desk.ts
@@ -92,7 +92,7 @@
         return {kind: 'refused', askId, detail, retryAfterMs};
       }
       case 'cancelled':
-        return {kind: 'refused', askId, detail: 'The request was withdrawn.'};
+        return {kind: 'refused', askId, detail: 'It was withdrawn.'};
     }
   }
 
--- a/src/relay/relay.ts
+++ b/src/relay/relay.ts
@@ -54,7 +54,7 @@
     if (!routing.current()) {
       return {
         kind: 'configuration-missing',
-        detail: 'Retry in a moment.',
+        detail: 'Ask again in a moment.',
         retryAfterMs: NO_CONFIGURATION_RETRY_MS,
       };
     }
@@ -62,7 +62,7 @@
     const route = routing.match(received.host, path);
     if (!route) return {kind: 'unknown-route', detail: path.slice(0, 80)};
     if (host.crashes.isQuarantined(received)) {
-      return {kind: 'quarantined', detail: 'The request is not run again.'};
+      return {kind: 'quarantined', detail: 'It is not run again.'};
     }
     const leaving = host.refuseForLeaving(route);
     if (leaving) return leaving;
--- a/src/relay/relay_gauges.ts
+++ b/src/relay/relay_gauges.ts
@@ -35,72 +35,72 @@
 const GAUGES: readonly Gauge[] = [
   {
     name: 'active_requests',
-    help: 'Requests in progress.',
+    help: 'Requests that run.',
     read: ({relay}) => relay.activeCount(),
   },
   {
     name: 'peers_alive',
-    help: 'Live hosts except this one.',
+    help: 'Live hosts but this one.',
     read: ({peers}) => peers.alive().length,
   },
   {
     name: 'peers_heard',
-    help: 'Live hosts that send their state directly to this host.',
+    help: 'Live hosts that this one hears itself.',
     read: ({peers}) => peers.heard().length,
   },
   {
     name: 'is_coordinator',
-    help: 'Whether this host is a coordinator of the membership, 0 or 1.',
+    help: 'Hears all hosts and tells them who lives, 0 or 1.',
     read: ({peers}) => Number(peers.isCoordinator()),
   },
   {
     name: 'is_following',
-    help: 'Whether this host gets the membership from a coordinator, 0 or 1.',
+    help: 'Is told who lives by a coordinator that hears all, 0 or 1.',
     read: ({peers}) => Number(peers.isFollowing()),
   },
   {
     name: 'is_reader',
-    help: 'Whether this host reads the store for other hosts, 0 or 1.',
+    help: 'Reads the store for other hosts, 0 or 1.',
     read: ({readers}) => Number(readers.isReader()),
   },
   {
     name: 'is_placer',
-    help: 'Whether this host places requests for other hosts, 0 or 1.',
+    help: 'Places for other hosts, 0 or 1.',
     read: ({placement}) => Number(placement.isPlacer()),
   },
   {
     name: 'configuration_version',
-    help: 'Version of the configuration in force.',
+    help: 'In force.',
     read: ({routing}) => routing.version(),
   },
   {
     name: 'store_era',
-    help: 'Era of the store: how often it reports a restore from an older copy.',
+    help: 'How often the store came back from an older copy, as it says.',
     read: ({storeEra}) => storeEra.current(),
   },
   {
     name: 'upstream_list_revision',
-    help: 'Counter of the store revision of the upstream list in use.',
+    help: 'The number of the store at the list that is gone by.',
     read: ({registry}) => registry.revision().counter,
   },
   {
     name: 'lists_left_out',
-    help: 'Upstream lists that were rejected as older than the one in use.',
+    help: 'Lists of upstreams that were read and not taken.',
     read: ({registry}) => registry.leftOutCount(),
   },
   {
     name: 'upstream_list_age_ms',
-    help: 'Age of the upstream list.',
+    help: 'Age of the list.',
     read: ({watch}) => watch.listAgeMs(),
   },
   {
     name: 'kept_upstreams',
-    help: 'Upstreams missing from the list that are kept, as they may return.',
+    help: 'Missing entries of the list that may come back.',
     read: ({registry}) => registry.keptCount(),
   },
   {
     name: 'kept_calls',
-    help: 'Calls that run or wait in slots that this host manages.',
+    help: 'Calls that run or wait by the word of this host.',
     read: ({plainPlaces}) => plainPlaces.keptCount(),
   },
   {
@@ -110,7 +110,7 @@
   },
   {
     name: 'waiting_streams',
-    help: 'Streams that are waiting for engines.',
+    help: 'Streams that wait for engines.',
     read: ({placement}) => placement.scheduler.announcements().length,
   },
 ];
--- a/src/relay/relay_metrics.ts
+++ b/src/relay/relay_metrics.ts
@@ -25,10 +25,10 @@
   requests: 'Requests that ended, by service, kind and end.',
   upstream_connections: 'Connections opened to upstreams and the store.',
   store_calls: 'Calls to the platform store, by call and outcome.',
-  log_lines_dropped: 'Log lines that were dropped.',
-  account_refusals: 'Requests refused by key or account limit, by reason.',
-  upstream_signals: 'Backpressure signals in answers of upstreams, by signal.',
-  sends_withheld: 'Sends held back on account of backpressure, by reason.',
+  log_lines_dropped: 'Log lines that were left out.',
+  account_refusals: 'Requests refused for their key or limit, by reason.',
+  upstream_signals: 'Answers in which upstreams say something of themselves.',
+  sends_withheld: 'Sends held back as upstreams ask for less, by reason.',
   role_orders: 'Orders to engines to change their role, by outcome.',
 } as const;
 
--- a/src/relay/streams/stream_events.ts
+++ b/src/relay/streams/stream_events.ts
@@ -49,12 +49,12 @@
       if (stallTimeoutMs === undefined) return;
       if (stallTimer) clock.clearTimer(stallTimer);
       stallTimer = clock.setTimer(stallTimeoutMs, () =>
-        finish({kind: 'broken', detail: `no data for ${stallTimeoutMs} ms`}),
+        finish({kind: 'broken', detail: `silent for ${stallTimeoutMs} ms`}),
       );
     };
     const deadlineTimer = clock.setTimer(
       Math.max(0, options.deadlineAtMs - clock.nowMs()),
-      () => finish({kind: 'timeout', detail: 'the deadline has passed'}),
+      () => finish({kind: 'timeout', detail: 'the wait is over'}),
     );
     cancellation.onCancel(() => finish({kind: 'caller-gone'}));
     const write = (bytes: Buffer) => {
--- a/src/relay/streams/stream_start.ts
+++ b/src/relay/streams/stream_start.ts
@@ -165,7 +165,7 @@
         .some(each => each.id === decode.id);
       const outcome: UpstreamAnswer | SendFailure | NoRetries = isOpen
         ? await sendDecode(state)
-        : {kind: 'unreachable', detail: 'the engine is draining'};
+        : {kind: 'unreachable', detail: 'the engine leaves'};
       if (outcome.kind === 'no-retries') return notRun(toOverload(outcome));
       if (outcome.kind !== 'answered') {
         failures.logFailure('Send failed.', state, decode, outcome);
@@ -230,7 +230,7 @@
       kind: 'failed',
       error: {
         kind: 'upstream-failed',
-        detail: `status ${answer.status} without a signature`,
+        detail: `status ${answer.status} without proof`,
       },
       mayHaveRun: true,
     };
