--- a/src/request/answer_index.ts
+++ b/src/request/answer_index.ts
@@ -1,7 +1,7 @@
 /**
- * Where keyed model answers run or lie, in memory at the owner of the key's
- * partition. A young index knows too little to say that there is no answer, so
- * it says that it is unsure until entries have announced theirs again.
+ * In-memory index of the places of keyed model answers, at the owner of the
+ * key's partition. After its start the index reports missing answers as
+ * `unsure`, until entries have had time to announce their answers again.
  */
 
 import type {Clock} from '../ports/clock.js';
@@ -12,25 +12,25 @@
 } from '../ports/kept_answers.js';
 
 export interface AnswerIndexOptions {
-  /** An announcement is forgotten unless repeated within this time. */
-  readonly placeLifeMs: number;
-  /** How long after its start the index is unsure of what it lacks. */
-  readonly unsureMs: number;
+  /** An announcement expires after this time unless repeated. */
+  readonly placeTtlMs: number;
+  /** How long after its start the index reports missing answers as `unsure`. */
+  readonly warmUpMs: number;
   readonly maxPlaces: number;
 }
 
 export const defaultAnswerIndexOptions: AnswerIndexOptions = {
-  placeLifeMs: 15_000,
-  unsureMs: 10_000,
+  placeTtlMs: 15_000,
+  warmUpMs: 10_000,
   maxPlaces: 50_000,
 };
 
-interface KnownPlace {
+interface IndexEntry {
   readonly place: AnswerPlace;
   readonly expiresAtMs: number;
 }
 
-function textOf(key: AnswerKey): string {
+function encodeKey(key: AnswerKey): string {
   return JSON.stringify([key.account, key.service, key.idempotencyKey]);
 }
 
@@ -40,26 +40,26 @@
 ): AnswerIndexPort {
   const {clock} = host;
   const startedAtMs = clock.nowMs();
-  /** Oldest announcement first. */
-  const places = new Map<string, KnownPlace>();
+  /** In order of announcement, oldest first. */
+  const places = new Map<string, IndexEntry>();
 
-  function findMissing(): AnswerPlace {
-    const isYoung = clock.nowMs() - startedAtMs < options.unsureMs;
-    return isYoung ? {kind: 'unsure'} : {kind: 'none'};
+  function placeOfMissing(): AnswerPlace {
+    const isWarmingUp = clock.nowMs() - startedAtMs < options.warmUpMs;
+    return isWarmingUp ? {kind: 'unsure'} : {kind: 'none'};
   }
 
   return {
     find(key) {
-      const known = places.get(textOf(key));
-      const isKnown = known && known.expiresAtMs > clock.nowMs();
-      return Promise.resolve(isKnown ? known.place : findMissing());
+      const entry = places.get(encodeKey(key));
+      const isCurrent = entry && entry.expiresAtMs > clock.nowMs();
+      return Promise.resolve(isCurrent ? entry.place : placeOfMissing());
     },
     announce(key, place) {
-      const text = textOf(key);
-      places.delete(text);
+      const encodedKey = encodeKey(key);
+      places.delete(encodedKey);
       if (place.kind === 'none' || place.kind === 'unsure') return;
-      const expiresAtMs = clock.nowMs() + options.placeLifeMs;
-      places.set(text, {place, expiresAtMs});
+      const expiresAtMs = clock.nowMs() + options.placeTtlMs;
+      places.set(encodedKey, {place, expiresAtMs});
       if (places.size > options.maxPlaces) {
         places.delete(places.keys().next().value!);
       }
--- a/src/request/journal_committer.ts
+++ b/src/request/journal_committer.ts
@@ -1,14 +1,15 @@
 /**
- * Writes a partition's journal: one transaction at a time, many operations in
- * each.
+ * Writes the journal of a partition, one transaction at a time with many
+ * operations each.
  *
  * Every transaction is conditional on the partition's lease epoch and on the
  * version of the partition's head row, and writes the head row. So at most one
- * transaction can follow each version of the head. After an unknown answer the
- * next transaction on the same head either applies, and then the doubtful one
- * never can, or is rejected, and then the head names the one that did. That is
- * why a write whose answer was lost, or which the platform applies late, can
- * neither run a call twice nor block its key for good.
+ * transaction applies to each version of the head. After a transaction with an
+ * unknown outcome, the next one on the same head version resolves the doubt. If
+ * it applies, the earlier one can't apply any more; if it is rejected, the head
+ * row names the one that applied. So a write whose answer was lost, or that the
+ * platform applies late, neither runs a call twice nor blocks its key
+ * permanently.
  */
 
 import {
@@ -23,13 +24,13 @@
   writesOf,
   type JournalBatch,
   type JournalOp,
-  type KnownRow,
+  type CachedRow,
 } from './journal_ops.js';
 import {planBatch, type PlanHost} from './journal_plan.js';
 
 export interface PartitionFence {
   readonly epoch: number;
-  /** Holds while the lease has this epoch. */
+  /** True while the lease has this epoch. */
   readonly condition: TableCondition;
 }
 
@@ -42,13 +43,13 @@
   readonly table: TablePort;
   fence(): PartitionFence | undefined;
   beginFacts(): BeginFacts;
-  /** Operations to do next. */
+  /** Removes up to `limit` operations from the front of the queue. */
   takeOps(limit: number): readonly JournalOp[];
-  /** Puts operations back at the front. */
+  /** Puts operations back at the front of the queue. */
   requeue(ops: readonly JournalOp[]): void;
-  /** The lease is gone: everything that waits is refused. */
+  /** Called when the lease is lost; refuses these and all queued operations. */
   onNotOwner(ops: readonly JournalOp[]): void;
-  /** A transaction applied. */
+  /** Called when the operations have become durable. */
   onApplied(ops: readonly JournalOp[]): void;
   onTransaction?(opCount: number): void;
 }
@@ -58,35 +59,35 @@
   readonly maxBatch: number;
   readonly readTimeoutMs: number;
   readonly writeTimeoutMs: number;
-  readonly maxKnownRows: number;
+  readonly maxCachedRows: number;
 }
 
-/** How one round ended; after trouble the caller waits before the next. */
+/** Result of one round. After `retry` the caller waits before the next one. */
 export type RoundResult =
   | {readonly kind: 'ok'}
   | {readonly kind: 'not-owner'}
-  | {readonly kind: 'trouble'; readonly retryAfterMs: number};
+  | {readonly kind: 'retry'; readonly retryAfterMs: number};
 
 export interface JournalCommitter {
-  /** With `isProbe`, writes the head even when nothing waits. */
+  /** With `isProbe`, writes the head row even without operations. */
   round(isProbe: boolean): Promise<RoundResult>;
-  known(rowKey: string): KnownRow | undefined;
+  known(rowKey: string): CachedRow | undefined;
   /** Whether an earlier transaction may still apply. */
   isInDoubt(): boolean;
 }
 
-/** Version of a row that does not exist. */
+/** Version that stands for a row that does not exist. */
 const ABSENT = 0;
-const TROUBLE_RETRY_MS = 100;
+const FAILED_ROUND_RETRY_MS = 100;
 
 const ok: RoundResult = {kind: 'ok'};
-const trouble: RoundResult = {
-  kind: 'trouble',
-  retryAfterMs: TROUBLE_RETRY_MS,
+const retryLater: RoundResult = {
+  kind: 'retry',
+  retryAfterMs: FAILED_ROUND_RETRY_MS,
 };
 
 interface VersionedRow {
-  readonly row: KnownRow;
+  readonly row: CachedRow;
   readonly version: number;
 }
 
@@ -102,39 +103,39 @@
 ): JournalCommitter {
   const headKey = journalHeadKey(options.partition);
   let epoch: number | undefined;
-  /** Undefined until read; 0 when the row does not exist. */
+  /** Undefined until read; `ABSENT` if the row does not exist. */
   let headVersion: number | undefined;
   let rows = new Map<string, VersionedRow>();
-  /** Transactions on the present head whose end is not known. */
-  let doubtful: readonly JournalBatch[] = [];
+  /** Transactions on the current head version whose outcome is unknown. */
+  let inDoubtBatches: readonly JournalBatch[] = [];
 
-  function forget(): void {
+  function clearCache(): void {
     headVersion = undefined;
     rows = new Map();
-    doubtful = [];
+    inDoubtBatches = [];
   }
 
-  function remember(key: string, row: KnownRow, version: number): void {
+  function cacheRow(key: string, row: CachedRow, version: number): void {
     rows.delete(key);
     rows.set(key, {row, version});
   }
 
   /**
-   * Only between rounds: a row forgotten within one would look absent to the
-   * operation that waits for it.
+   * Evicts the oldest cached rows. Called only between rounds, since a row
+   * evicted within a round would be missing for the operation that loaded it.
    */
-  function trim(): void {
+  function evictOldRows(): void {
     for (const key of rows.keys()) {
-      if (rows.size <= options.maxKnownRows) return;
+      if (rows.size <= options.maxCachedRows) return;
       rows.delete(key);
     }
   }
 
-  function takeHead(row: TableRow | undefined): void {
+  function setHeadVersion(row: TableRow | undefined): void {
     headVersion = row?.version ?? ABSENT;
   }
 
-  /** Reads the head, if it is not known, and all rows that are not. */
+  /** Reads the head row and the rows of `ops` that aren't cached. */
   async function load(ops: readonly JournalOp[]): Promise<boolean> {
     const unknownKeys = new Set(
       ops.map(op => op.rowKey).filter(key => !rows.has(key)),
@@ -145,59 +146,59 @@
     const outcome = await host.table.read(keys, options.readTimeoutMs);
     if (outcome.kind === 'failed') return false;
     const found = new Map(outcome.value.map(row => [row.key, row]));
-    if (headVersion === undefined) takeHead(found.get(headKey));
+    if (headVersion === undefined) setHeadVersion(found.get(headKey));
     for (const key of unknownKeys) {
       const row = found.get(key);
       const parsed = row && (parseJournalRow(row.value) ?? 'unreadable');
-      remember(key, parsed ?? 'absent', row?.version ?? ABSENT);
+      cacheRow(key, parsed ?? 'absent', row?.version ?? ABSENT);
     }
     return true;
   }
 
   function commit(batch: JournalBatch, version: number): void {
     headVersion = version;
-    doubtful = [];
+    inDoubtBatches = [];
     for (const [key, row] of batch.rows) {
       const before = rows.get(key)?.version ?? ABSENT;
-      remember(key, row, row === 'absent' ? ABSENT : before + 1);
+      cacheRow(key, row, row === 'absent' ? ABSENT : before + 1);
     }
     host.onApplied(batch.ops);
   }
 
-  function unsettled(ops: readonly JournalOp[], done: readonly JournalOp[]) {
+  function withoutDone(ops: readonly JournalOp[], done: readonly JournalOp[]) {
     return ops.filter(op => !done.includes(op));
   }
 
   /**
-   * Asks the head which of the transactions that may have applied did.
+   * Reads the head row to find out which of the in-doubt transactions applied.
    * `batch` is the newest of them.
    */
-  async function askHead(batch: JournalBatch): Promise<RoundResult> {
+  async function resolveInDoubt(batch: JournalBatch): Promise<RoundResult> {
     const outcome = await host.table.read([headKey], options.readTimeoutMs);
     if (outcome.kind === 'failed') {
       host.requeue(batch.ops);
-      return trouble;
+      return retryLater;
     }
     const head = outcome.value[0];
     if ((head?.version ?? ABSENT) === headVersion) {
       host.requeue(batch.ops);
-      return trouble;
+      return retryLater;
     }
-    const applied = doubtful.find(
-      doubt => doubt.attemptId === head?.value['attemptId'],
+    const applied = inDoubtBatches.find(
+      inDoubtBatch => inDoubtBatch.attemptId === head?.value['attemptId'],
     );
     if (applied && head.version === headVersion! + 1) {
       commit(applied, head.version);
-      host.requeue(unsettled(batch.ops, applied.ops));
+      host.requeue(withoutDone(batch.ops, applied.ops));
       return ok;
     }
-    // Another process has written: nothing that is remembered can be trusted.
-    forget();
+    // Another process has written, so the cache is stale.
+    clearCache();
     host.requeue(batch.ops);
-    return trouble;
+    return retryLater;
   }
 
-  /** Lease, head and rows must be as they were when the batch was planned. */
+  /** Requires the lease, head and rows to be unchanged since the planning. */
   function conditionsOf(
     batch: JournalBatch,
     fence: PartitionFence,
@@ -238,28 +239,28 @@
       case 'refused':
         host.requeue(batch.ops);
         return {
-          kind: 'trouble',
-          retryAfterMs: Math.max(TROUBLE_RETRY_MS, outcome.retryAfterMs),
+          kind: 'retry',
+          retryAfterMs: Math.max(FAILED_ROUND_RETRY_MS, outcome.retryAfterMs),
         };
       case 'rejected':
-        // The holder was paused past its lease: the epoch has moved on, and
-        // nothing that it had begun to write can apply any more.
+        // This process was paused past its lease. With the new epoch, none of
+        // its earlier transactions can apply any more.
         if (outcome.failedKeys.includes(fence.condition.key)) {
-          forget();
+          clearCache();
           host.onNotOwner(batch.ops);
           return {kind: 'not-owner'};
         }
         if (!outcome.failedKeys.includes(headKey)) {
-          // Another partition's owner wrote the row, while the number of
-          // partitions changes. It is read anew before anything is decided.
+          // The owner of another partition wrote the row, which can happen
+          // while the number of partitions changes. The next round reads it.
           outcome.failedKeys.forEach(key => rows.delete(key));
           host.requeue(batch.ops);
-          return trouble;
+          return retryLater;
         }
-        return askHead(batch);
+        return resolveInDoubt(batch);
       case 'unknown':
-        doubtful = [...doubtful, batch];
-        return askHead(batch);
+        inDoubtBatches = [...inDoubtBatches, batch];
+        return resolveInDoubt(batch);
     }
   }
 
@@ -267,17 +268,17 @@
     async round(isProbe) {
       const fence = host.fence();
       if (!fence) {
-        forget();
+        clearCache();
         host.onNotOwner([]);
         return {kind: 'not-owner'};
       }
-      if (fence.epoch !== epoch) forget();
+      if (fence.epoch !== epoch) clearCache();
       epoch = fence.epoch;
-      trim();
+      evictOldRows();
       const ops = host.takeOps(options.maxBatch);
       if (!(await load(ops))) {
         host.requeue(ops);
-        return trouble;
+        return retryLater;
       }
       const batch = planBatch(
         {
@@ -285,7 +286,7 @@
           known: key => rows.get(key)?.row,
           retentionMs: host.retentionMs,
           isReleased: host.isReleased,
-          isInDoubt: doubtful.length > 0,
+          isInDoubt: inDoubtBatches.length > 0,
           replay: host.replay,
         },
         ops,
@@ -293,13 +294,13 @@
       );
       host.requeue(batch.deferred);
       if (batch.rows.size === 0 && !isProbe) {
-        // No write was needed; whatever rests on known rows is durable.
+        // No write was needed; ends that match cached rows are durable.
         host.onApplied(batch.ops);
         return ok;
       }
       return write(batch, fence);
     },
     known: key => rows.get(key)?.row,
-    isInDoubt: () => doubtful.length > 0,
+    isInDoubt: () => inDoubtBatches.length > 0,
   };
 }
--- a/src/request/journal_ops.ts
+++ b/src/request/journal_ops.ts
@@ -1,4 +1,4 @@
-/** What waits at the owner of a key partition, and what it would write. */
+/** Operations queued at the owner of a key partition, and their batches. */
 
 import type {JournalRow} from '../core/request/journal_rows.js';
 import type {
@@ -12,11 +12,11 @@
   readonly kind: 'begin';
   readonly rowKey: string;
   readonly request: IntentRequest;
-  /** Does nothing after the first call. */
+  /** Calls after the first have no effect. */
   resolve(outcome: IntentOutcome): void;
-  /** The asker was told `refused`; the intent must not stay. */
+  /** The requester got `refused`, so the intent must not remain. */
   isWithdrawn: boolean;
-  /** It was part of a transaction, which may have applied. */
+  /** Was part of a transaction that may have applied. */
   wasSent: boolean;
 }
 
@@ -25,13 +25,13 @@
   readonly rowKey: string;
   readonly request: IntentRequest;
   readonly end: JournalEnd;
-  /** Where a large answer was put beforehand. */
+  /** Key in the object store, if a large answer was stored there. */
   readonly objectKey?: string;
   resolve(isDurable: boolean): void;
   isWithdrawn: boolean;
 }
 
-/** Deletes a row that has outlived its retention. */
+/** Deletes a row whose retention has ended. */
 export interface PurgeOp {
   readonly kind: 'purge';
   readonly rowKey: string;
@@ -40,22 +40,22 @@
 
 export type JournalOp = BeginOp | EndOp | PurgeOp;
 
-/** A row as the owner knows it. A row that cannot be read never runs. */
-export type KnownRow = JournalRow | 'absent' | 'unreadable';
+/** Cached state of a row. A call with an unreadable row never runs. */
+export type CachedRow = JournalRow | 'absent' | 'unreadable';
 
-/** One planned transaction. */
+/** A planned transaction. */
 export interface JournalBatch {
   readonly attemptId: string;
-  /** Rows as they will be if it applies. */
-  readonly rows: ReadonlyMap<string, KnownRow>;
-  /** Operations that are done once it has applied. */
+  /** Rows as they are after the transaction. */
+  readonly rows: ReadonlyMap<string, CachedRow>;
+  /** Operations that complete when the transaction applies. */
   readonly ops: readonly JournalOp[];
-  /** Operations that must wait until it has applied. */
+  /** Operations that must be planned again after the transaction. */
   readonly deferred: readonly JournalOp[];
 }
 
 export function writesOf(
-  rows: ReadonlyMap<string, KnownRow>,
+  rows: ReadonlyMap<string, CachedRow>,
 ): readonly TableWrite[] {
   const writes: TableWrite[] = [];
   for (const [key, row] of rows) {
--- a/src/request/journal_owner.ts
+++ b/src/request/journal_owner.ts
@@ -1,8 +1,9 @@
 /**
  * The journal of one key partition, at the process that holds its lease.
  *
- * Gathers intents and ends into group commits, refuses quickly while the
- * platform does not answer, and takes back intents whose askers were refused.
+ * Batches intents and ends into group commits, refuses intents at once while
+ * the platform doesn't respond, and withdraws intents whose requesters were
+ * refused.
  */
 
 import {journalRowKey, type RowAnswer} from '../core/request/journal_rows.js';
@@ -33,30 +34,30 @@
   readonly objectStore: ObjectStorePort;
   /** Undefined while this process does not hold the partition's lease. */
   fence(): PartitionFence | undefined;
-  /** False only when that incarnation of the entry is known to be gone. */
+  /** False only if this incarnation of the entry is known to be dead. */
   isEntryAlive(entry: string): boolean;
-  /** Told of each transaction, for metrics. */
+  /** Called for each transaction, for metrics. */
   onTransaction?(opCount: number): void;
 }
 
 export interface JournalOwnerOptions {
   readonly partition: number;
-  /** Shortest gathering time of a group commit. */
+  /** Minimum time for which a group commit collects operations. */
   readonly flushMs: number;
-  /** This partition's share of the platform's writes. */
+  /** This partition's share of the platform's write rate. */
   readonly maxWritesPerSecond: number;
   readonly maxBatch: number;
   readonly maxQueued: number;
-  /** Longest time before a `begin` is refused. */
+  /** Longest wait of a `begin`; it is then refused. */
   readonly beginTimeoutMs: number;
-  /** In trouble for this long: new intents are refused at once. */
+  /** After rounds have failed for this long, intents are refused at once. */
   readonly refuseAfterMs: number;
   readonly readTimeoutMs: number;
   readonly writeTimeoutMs: number;
-  /** Larger answers go to the object store. */
+  /** Answers with a larger body are put into the object store. */
   readonly maxInlineBytes: number;
   readonly runningRetryMs: number;
-  /** Expired rows are looked for this often. */
+  /** Interval between scans for expired rows. */
   readonly purgeIntervalMs: number;
   retentionMs(service: string): number;
 }
@@ -79,18 +80,18 @@
 };
 
 export interface JournalOwner extends JournalPort {
-  /** Operations that wait for a transaction. */
+  /** Number of operations that wait for a transaction. */
   queuedCount(): number;
-  /** Stops the timers; what waits is refused. */
+  /** Stops the timers and refuses all queued operations. */
   close(): void;
 }
 
-const MAX_KNOWN_ROWS = 20_000;
-const RELEASED_MEMORY_MS = 60_000;
+const MAX_CACHED_ROWS = 20_000;
+const KEEP_RELEASED_MS = 60_000;
 const PLATFORM_RETRY_AFTER_MS = 1_000;
 const NOT_OWNER_RETRY_AFTER_MS = 200;
 const IN_DOUBT_PROBE_MS = 500;
-/** Writes that may be ahead of the rate, so that a lone call need not wait. */
+/** Writes allowed in advance of the rate, so a single call needn't wait. */
 const WRITE_BURST = 3;
 
 function refused(
@@ -114,9 +115,9 @@
   let isInRound = false;
   let isClosed = false;
   let nextWriteAtMs = 0;
-  let troubledSinceMs: number | undefined;
-  /** Attempts that were set free, so that a late intent is not written. */
-  const released = new Map<string, number>();
+  let failingSinceMs: number | undefined;
+  /** Release times of attempts whose intents must not be written any more. */
+  const releasedAttempts = new Map<string, number>();
 
   const committer = createJournalCommitter(
     {
@@ -131,7 +132,7 @@
       }),
       retentionMs: service => options.retentionMs(service),
       replay: (op, answer, attemptId) => void replay(op, answer, attemptId),
-      isReleased: attemptId => released.has(attemptId),
+      isReleased: attemptId => releasedAttempts.has(attemptId),
       takeOps,
       requeue(ops) {
         queue = [...ops, ...queue];
@@ -145,24 +146,25 @@
       maxBatch: options.maxBatch,
       readTimeoutMs: options.readTimeoutMs,
       writeTimeoutMs: options.writeTimeoutMs,
-      maxKnownRows: MAX_KNOWN_ROWS,
+      maxCachedRows: MAX_CACHED_ROWS,
     },
   );
 
   function takeOps(limit: number): readonly JournalOp[] {
-    const live = queue.flatMap(withoutWithdrawn);
+    const live = queue.flatMap(replaceWithdrawn);
     queue = live.slice(limit);
     return live.slice(0, limit);
   }
 
   /**
-   * Leaves out what nobody waits for. An intent that was sent once may have
-   * applied, though: it is taken back instead, or its key would stay blocked.
+   * Skips operations that nobody waits for. An intent that was already sent may
+   * have applied, so it is replaced by its release; otherwise its key would
+   * stay blocked.
    */
-  function withoutWithdrawn(op: JournalOp): readonly JournalOp[] {
+  function replaceWithdrawn(op: JournalOp): readonly JournalOp[] {
     if (!op.isWithdrawn) return [op];
-    const isMaybeApplied = op.kind === 'begin' && op.wasSent;
-    return isMaybeApplied ? [releaseOp(op.request, op.rowKey)] : [];
+    const mayHaveApplied = op.kind === 'begin' && op.wasSent;
+    return mayHaveApplied ? [releaseOp(op.request, op.rowKey)] : [];
   }
 
   function onNotOwner(ops: readonly JournalOp[]): void {
@@ -178,15 +180,15 @@
     for (const op of ops) {
       if (op.kind === 'end') op.resolve(true);
       if (op.kind !== 'begin') continue;
-      // Its asker was refused while the write was in doubt. The intent did
-      // apply, so it is taken back, or the key would stay blocked.
+      // The requester was refused while the write was in doubt. The intent has
+      // applied, so it is released; otherwise its key would stay blocked.
       if (op.isWithdrawn) queue.push(releaseOp(op.request, op.rowKey));
       else op.resolve({kind: 'proceed'});
     }
   }
 
   function releaseOp(request: IntentRequest, rowKey: string): EndOp {
-    noteReleased(request.attemptId);
+    recordReleased(request.attemptId);
     return {
       kind: 'end',
       rowKey,
@@ -197,11 +199,11 @@
     };
   }
 
-  function noteReleased(attemptId: string): void {
-    released.set(attemptId, clock.nowMs());
-    for (const [oldest, atMs] of released) {
-      if (clock.nowMs() - atMs < RELEASED_MEMORY_MS) break;
-      released.delete(oldest);
+  function recordReleased(attemptId: string): void {
+    releasedAttempts.set(attemptId, clock.nowMs());
+    for (const [oldest, atMs] of releasedAttempts) {
+      if (clock.nowMs() - atMs < KEEP_RELEASED_MS) break;
+      releasedAttempts.delete(oldest);
     }
   }
 
@@ -218,7 +220,7 @@
     }
     const read = await host.objectStore.get(objectKey, options.readTimeoutMs);
     if (read.kind === 'failed') {
-      // The call did run, so its repeat may not be refused as not run.
+      // The call has run, so its repeat must not be refused as not run.
       op.resolve({kind: 'running', retryAfterMs: options.runningRetryMs});
     } else if (!read.value) {
       op.resolve({kind: 'outcome-unknown', attemptId});
@@ -230,9 +232,9 @@
 
   function schedule(delayMs: number): void {
     if (roundTimer || isInRound || isClosed) return;
-    const budgetMs =
+    const nextWriteInMs =
       nextWriteAtMs - WRITE_BURST * writeIntervalMs - clock.nowMs();
-    roundTimer = clock.setTimer(Math.max(delayMs, budgetMs), () => {
+    roundTimer = clock.setTimer(Math.max(delayMs, nextWriteInMs), () => {
       roundTimer = undefined;
       void runRound();
     });
@@ -241,33 +243,33 @@
   async function runRound(): Promise<void> {
     isInRound = true;
     nextWriteAtMs = Math.max(nextWriteAtMs, clock.nowMs()) + writeIntervalMs;
-    const isProbe = troubledSinceMs !== undefined || committer.isInDoubt();
+    const isProbe = failingSinceMs !== undefined || committer.isInDoubt();
     const result = await committer
       .round(isProbe)
       .catch((cause: unknown): RoundResult => {
-        host.log.error('A journal round failed.', {cause: String(cause)});
-        return {kind: 'trouble', retryAfterMs: IN_DOUBT_PROBE_MS};
+        host.log.error('Journal round failed.', {cause: String(cause)});
+        return {kind: 'retry', retryAfterMs: IN_DOUBT_PROBE_MS};
       });
     isInRound = false;
     afterRound(result);
   }
 
   function afterRound(result: RoundResult): void {
-    if (result.kind === 'trouble') {
-      troubledSinceMs ??= clock.nowMs();
+    if (result.kind === 'retry') {
+      failingSinceMs ??= clock.nowMs();
       const hasWork = queue.some(op => !op.isWithdrawn);
       schedule(hasWork ? result.retryAfterMs : IN_DOUBT_PROBE_MS);
       return;
     }
-    troubledSinceMs = undefined;
+    failingSinceMs = undefined;
     if (result.kind === 'ok' && committer.isInDoubt()) {
       schedule(IN_DOUBT_PROBE_MS);
     } else if (queue.length > 0) schedule(options.flushMs);
   }
 
   function isRefusing(): boolean {
-    if (troubledSinceMs === undefined) return false;
-    return clock.nowMs() - troubledSinceMs >= options.refuseAfterMs;
+    if (failingSinceMs === undefined) return false;
+    return clock.nowMs() - failingSinceMs >= options.refuseAfterMs;
   }
 
   function begin(request: IntentRequest): Promise<IntentOutcome> {
@@ -280,7 +282,7 @@
       const timeoutMs = Math.min(request.timeoutMs, options.beginTimeoutMs);
       const timer = clock.setTimer(timeoutMs, () => {
         op.isWithdrawn = true;
-        noteReleased(request.attemptId);
+        recordReleased(request.attemptId);
         resolve(platformRefusal);
       });
       const op: BeginOp = {
@@ -299,7 +301,7 @@
     });
   }
 
-  async function storeLarge(
+  async function storeLargeAnswer(
     request: IntentRequest,
     answer: StoredAnswer,
   ): Promise<string | undefined> {
@@ -317,12 +319,12 @@
     ending: JournalEnd,
   ): Promise<boolean> {
     if (isClosed || !host.fence()) return false;
-    if (ending.kind === 'released') noteReleased(request.attemptId);
+    if (ending.kind === 'released') recordReleased(request.attemptId);
     const isLarge =
       ending.kind === 'answered' &&
       ending.answer.body.length > options.maxInlineBytes;
     const objectKey = isLarge
-      ? await storeLarge(request, ending.answer)
+      ? await storeLargeAnswer(request, ending.answer)
       : undefined;
     if (isLarge && objectKey === undefined) return false;
     return new Promise(resolve => {
@@ -352,7 +354,7 @@
       clock,
       table: host.table,
       objectStore: host.objectStore,
-      isDue: () => host.fence() !== undefined && troubledSinceMs === undefined,
+      isDue: () => host.fence() !== undefined && failingSinceMs === undefined,
       queue(rowKey) {
         queue.push({kind: 'purge', rowKey, isWithdrawn: false});
         schedule(options.flushMs);
--- a/src/request/journal_plan.ts
+++ b/src/request/journal_plan.ts
@@ -1,4 +1,4 @@
-/** Turns waiting operations into one transaction, from the rows as known. */
+/** Plans one transaction for queued operations, from the cached rows. */
 
 import {
   decideBegin,
@@ -13,34 +13,35 @@
   EndOp,
   JournalBatch,
   JournalOp,
-  KnownRow,
+  CachedRow,
 } from './journal_ops.js';
 
 export interface PlanHost extends BeginFacts {
-  known(rowKey: string): KnownRow | undefined;
+  known(rowKey: string): CachedRow | undefined;
   retentionMs(service: string): number;
   isReleased(attemptId: string): boolean;
-  /** An earlier transaction may still change the rows. */
+  /** Whether an earlier transaction may still change the rows. */
   readonly isInDoubt: boolean;
-  /** Reads a stored answer back and resolves the operation with it. */
+  /** Reads a stored answer and resolves the operation with it. */
   replay(op: BeginOp, answer: RowAnswer, attemptId: string): void;
 }
 
 /**
- * Operations are applied in order on an overlay, so that several of one key
- * may share a transaction. What needs no write is resolved here.
+ * Applies the operations in order to an overlay of the rows, so one
+ * transaction can hold several operations of one key. Operations that need no
+ * write are resolved at once.
  */
 export function planBatch(
   host: PlanHost,
   ops: readonly JournalOp[],
   attemptId: string,
 ): JournalBatch {
-  const rows = new Map<string, KnownRow>();
+  const rows = new Map<string, CachedRow>();
   const written: JournalOp[] = [];
   const deferred: JournalOp[] = [];
-  // A row that was not loaded must never be taken for an absent one: the call
-  // that it records would run again.
-  const look = (key: string) =>
+  // A row that wasn't loaded counts as unreadable. If it counted as absent, the
+  // call that it records could run again.
+  const currentRow = (key: string) =>
     rows.get(key) ?? host.known(key) ?? 'unreadable';
 
   function planBegin(op: BeginOp): void {
@@ -48,25 +49,25 @@
       op.resolve({kind: 'refused', reason: 'platform', retryAfterMs: 0});
       return;
     }
-    const known = look(op.rowKey);
-    if (known === 'unreadable') {
+    const current = currentRow(op.rowKey);
+    if (current === 'unreadable') {
       op.resolve({kind: 'outcome-unknown', attemptId: ''});
       return;
     }
-    const row = known === 'absent' ? undefined : known;
+    const row = current === 'absent' ? undefined : current;
     const decision = decideBegin(row, op.request, host);
     switch (decision.kind) {
       case 'done': {
-        // This intent may be an earlier write of the same batch.
+        // The intent may be written by this same batch.
         if (decision.outcome.kind === 'proceed' && rows.has(op.rowKey)) {
           written.push(op);
         } else op.resolve(decision.outcome);
         return;
       }
       case 'stored':
-        // An answer that this very batch records is not durable yet. Handed
-        // out now and lost with the owner, it would differ from what a later
-        // repeat is told.
+        // An answer recorded by this same batch isn't durable yet. If it were
+        // sent now and then lost with the owner, a later repeat would get a
+        // different answer.
         if (rows.has(op.rowKey)) {
           deferred.push(op);
           return;
@@ -91,16 +92,16 @@
   }
 
   function planEnd(op: EndOp): void {
-    const known = look(op.rowKey);
-    const row = typeof known === 'string' ? undefined : known;
+    const current = currentRow(op.rowKey);
+    const row = typeof current === 'string' ? undefined : current;
     const decision =
-      known === 'unreadable'
+      current === 'unreadable'
         ? ({kind: 'done', isDurable: false} as const)
         : decideEnd(row, op.request, op.end);
     switch (decision.kind) {
       case 'done':
-        // Durable only with the batch, if it rests on what the batch writes,
-        // or if a doubtful transaction may still write the row.
+        // The end is durable only with this batch if this batch writes the
+        // row, or if an in-doubt transaction may still write it.
         if (decision.isDurable && (rows.has(op.rowKey) || host.isInDoubt)) {
           written.push(op);
         } else op.resolve(decision.isDurable);
@@ -135,9 +136,10 @@
     if (op.kind === 'begin') planBegin(op);
     else if (op.kind === 'end') planEnd(op);
     else {
-      const known = look(op.rowKey);
+      const current = currentRow(op.rowKey);
       const isExpired =
-        typeof known !== 'string' && known.expiresAtWallMs <= host.nowWallMs;
+        typeof current !== 'string' &&
+        current.expiresAtWallMs <= host.nowWallMs;
       if (isExpired) rows.set(op.rowKey, 'absent');
     }
   }
--- a/src/request/journal_purge.ts
+++ b/src/request/journal_purge.ts
@@ -1,4 +1,4 @@
-/** Finds rows of the journal that have outlived their retention. */
+/** Scans the journal for rows whose retention has ended and purges them. */
 
 import {JOURNAL_PREFIX, parseJournalRow} from '../core/request/journal_rows.js';
 import type {Clock} from '../ports/clock.js';
@@ -8,9 +8,9 @@
   readonly clock: Clock;
   readonly table: TablePort;
   readonly objectStore: ObjectStorePort;
-  /** Whether this process owns the partition and the platform answers. */
+  /** Whether this process owns the partition and the platform responds. */
   isDue(): boolean;
-  /** Has the row deleted with the next transaction, if it is still expired. */
+  /** Deletes the row with the next transaction, if it is still expired. */
   queue(rowKey: string): void;
 }
 
@@ -25,7 +25,7 @@
 }
 
 const PAGE_ROWS = 200;
-/** While pages are full of expired rows. */
+/** Interval while most rows of a page have expired. */
 const NEXT_PAGE_MS = 1_000;
 
 export function createJournalPurge(
@@ -36,7 +36,7 @@
   let afterKey: string | undefined;
   let isStopped = false;
 
-  /** Looks at one page; true when most of it had expired. */
+  /** Reads one page; returns whether most of its rows had expired. */
   async function readPage(): Promise<boolean> {
     const page = await host.table.scan(
       JOURNAL_PREFIX,
@@ -45,7 +45,7 @@
     );
     if (page.kind === 'failed') return false;
     const expired = page.value.filter(isExpired);
-    expired.forEach(drop);
+    expired.forEach(purgeRow);
     const isLast = page.value.length < PAGE_ROWS;
     afterKey = isLast ? undefined : page.value.at(-1)?.key;
     return expired.length > page.value.length / 2;
@@ -56,7 +56,7 @@
     return row !== undefined && row.expiresAtWallMs <= clock.wallMs();
   }
 
-  function drop({key, value}: TableRow): void {
+  function purgeRow({key, value}: TableRow): void {
     const row = parseJournalRow(value);
     const objectKey =
       row?.state === 'answered' ? row.answer.objectKey : undefined;
@@ -66,13 +66,13 @@
     host.queue(key);
   }
 
-  async function round(): Promise<void> {
+  async function runRound(): Promise<void> {
     const hasMore = host.isDue() && (await readPage());
     if (!isStopped) schedule(hasMore ? NEXT_PAGE_MS : options.purgeIntervalMs);
   }
 
   function schedule(delayMs: number): void {
-    clock.setTimer(delayMs, () => void round());
+    clock.setTimer(delayMs, () => void runRound());
   }
 
   schedule(options.purgeIntervalMs);
--- a/src/request/kept_answers.ts
+++ b/src/request/kept_answers.ts
@@ -1,10 +1,10 @@
 /**
- * Answers of keyed model requests, for callers who ask again.
+ * Keeps the answers of keyed model requests for repeats of the request.
  *
  * A repeat at this entry follows the running answer or gets the finished one.
- * At another entry it is found through the index; a patient caller's finished
- * answer also lies in the platform's object store for the stated retention, so
- * that the death of an entry loses no finished draft.
+ * Other entries find the answer through the index. Finished answers of patient
+ * requests are also stored in the platform's object store for their retention,
+ * so they survive the death of the entry.
  */
 
 import {z} from 'zod';
@@ -36,7 +36,7 @@
 }
 
 export interface KeptAnswersOptions {
-  /** Memory for finished answers at this entry. */
+  /** Limit of the memory for finished answers at this entry. */
   readonly maxLocalBytes: number;
   readonly indexTimeoutMs: number;
   readonly storeTimeoutMs: number;
@@ -52,15 +52,15 @@
   | {readonly kind: 'running'; readonly address: string};
 
 export interface KeptAnswers {
-  /** The answer under this key at this entry, running or finished. */
+  /** The running or finished answer of this entry for the key. */
   find(key: AnswerKey): LiveAnswer | undefined;
   /** Registers a new running answer. */
   open(request: ModelRequest): LiveAnswer;
-  /** To be called once when the answer has ended, whole or not. */
+  /** Must be called once when the answer has ended, complete or not. */
   close(request: ModelRequest, answer: LiveAnswer): void;
-  /** Whether another entry or the object store has it. */
+  /** Looks for the answer at other entries and in the object store. */
   lookUp(request: ModelRequest): Promise<LookUpOutcome>;
-  /** Reads on at the entry that runs it. */
+  /** Reads further tokens at the entry that runs the request. */
   readPeer(
     address: string,
     key: AnswerKey,
@@ -75,14 +75,14 @@
   ): Promise<AnswerPart>;
 }
 
-const storedSchema = z.object({
+const storedAnswerSchema = z.object({
   fingerprint: z.string(),
   expiresAtWallMs: z.number(),
   finishReason: z.enum(['stop', 'length']),
   texts: z.array(z.string()),
 });
 
-interface Entry {
+interface LocalAnswer {
   readonly answer: LiveAnswer;
   sizeBytes: number;
   expiresAtMs: number;
@@ -94,7 +94,7 @@
   return {service, account, idempotencyKey};
 }
 
-function keyText(key: AnswerKey): string {
+function encodeKey(key: AnswerKey): string {
   return [key.account, key.service, key.idempotencyKey]
     .map(encodeURIComponent)
     .join('/');
@@ -102,35 +102,35 @@
 
 /** Key of a kept answer in the object store. */
 export function answerObjectKey(key: AnswerKey): string {
-  return `answers/${keyText(key)}`;
+  return `answers/${encodeKey(key)}`;
 }
 
 export function createKeptAnswers(
   host: KeptAnswersHost,
   options: KeptAnswersOptions,
 ): KeptAnswers {
-  const entries = new Map<string, Entry>();
+  const localAnswers = new Map<string, LocalAnswer>();
   let localBytes = 0;
 
-  function drop(text: string): void {
-    const entry = entries.get(text);
+  function removeLocal(encodedKey: string): void {
+    const entry = localAnswers.get(encodedKey);
     if (!entry) return;
     localBytes -= entry.sizeBytes;
-    entries.delete(text);
+    localAnswers.delete(encodedKey);
   }
 
-  function isLive(entry: Entry): boolean {
+  function isLive(entry: LocalAnswer): boolean {
     return !entry.answer.finished() && !entry.answer.hasFailed();
   }
 
   function find(key: AnswerKey): LiveAnswer | undefined {
-    const text = keyText(key);
-    const entry = entries.get(text);
+    const encodedKey = encodeKey(key);
+    const entry = localAnswers.get(encodedKey);
     if (!entry) return undefined;
     if (isLive(entry) || host.clock.nowMs() < entry.expiresAtMs) {
       return entry.answer;
     }
-    drop(text);
+    removeLocal(encodedKey);
     return undefined;
   }
 
@@ -138,8 +138,8 @@
     host.index?.announce(key, place);
   }
 
-  /** A new index owner learns of a running answer from the repetition. */
-  function announceWhileLive(key: AnswerKey, entry: Entry): void {
+  /** Announces repeatedly, so that a new index owner gets the place too. */
+  function announceWhileLive(key: AnswerKey, entry: LocalAnswer): void {
     if (!host.index || !isLive(entry)) return;
     announce(key, {
       kind: 'running',
@@ -151,10 +151,10 @@
     );
   }
 
-  function makeRoom(): void {
-    for (const [text, entry] of entries) {
+  function evictFinished(): void {
+    for (const [encodedKey, entry] of localAnswers) {
       if (localBytes <= options.maxLocalBytes) return;
-      if (!isLive(entry)) drop(text);
+      if (!isLive(entry)) removeLocal(encodedKey);
     }
   }
 
@@ -210,9 +210,9 @@
   function parseStored(body: Uint8Array) {
     try {
       const json: unknown = JSON.parse(Buffer.from(body).toString('utf8'));
-      return storedSchema.parse(json);
+      return storedAnswerSchema.parse(json);
     } catch {
-      host.log.warn('A kept answer could not be read.');
+      host.log.warn('Could not parse a stored answer.');
       return undefined;
     }
   }
@@ -224,8 +224,8 @@
   ): Promise<AnswerPart> {
     const answer = find(key);
     if (!answer || answer.hasFailed()) return {kind: 'absent'};
-    const isBehind = answer.tokenCount() > fromOffset;
-    if (!isBehind && !answer.finished() && waitMs > 0) {
+    const hasNewTokens = answer.tokenCount() > fromOffset;
+    if (!hasNewTokens && !answer.finished() && waitMs > 0) {
       await new Promise<void>(resolve => {
         const timer = host.clock.setTimer(waitMs, resolve);
         answer.onNextChange(() => {
@@ -251,18 +251,18 @@
     open(request) {
       const key = answerKeyOf(request)!;
       const answer = createLiveAnswer(request.fingerprint);
-      const entry: Entry = {answer, sizeBytes: 0, expiresAtMs: Infinity};
-      drop(keyText(key));
-      entries.set(keyText(key), entry);
+      const entry: LocalAnswer = {answer, sizeBytes: 0, expiresAtMs: Infinity};
+      removeLocal(encodeKey(key));
+      localAnswers.set(encodeKey(key), entry);
       return answer;
     },
     close(request, answer) {
       const key = answerKeyOf(request)!;
-      const entry = entries.get(keyText(key));
+      const entry = localAnswers.get(encodeKey(key));
       if (entry?.answer !== answer) return;
       const finished = answer.finished();
       if (!finished) {
-        drop(keyText(key));
+        removeLocal(encodeKey(key));
         announce(key, {kind: 'none'});
         return;
       }
@@ -273,13 +273,13 @@
         0,
       );
       localBytes += entry.sizeBytes;
-      makeRoom();
+      evictFinished();
       if (request.requestClass !== 'patient') return;
       void store(key, finished, host.clock.wallMs() + retentionMs);
     },
     async lookUp(request) {
       const key = answerKeyOf(request)!;
-      const entry = entries.get(keyText(key));
+      const entry = localAnswers.get(encodeKey(key));
       const place = host.index
         ? await host.index.find(key, options.indexTimeoutMs)
         : ({kind: 'unsure'} as const);
@@ -295,8 +295,8 @@
         case 'stored':
           return readStored(request, key);
         case 'unsure':
-          // Interactive answers are not in the store; a read for each would
-          // use up the platform's reads.
+          // Interactive answers aren't in the object store, and a read for each
+          // request would use up the platform's read rate.
           return request.requestClass === 'patient'
             ? readStored(request, key)
             : {kind: 'none'};
--- a/src/request/live_answer.ts
+++ b/src/request/live_answer.ts
@@ -1,9 +1,9 @@
-/** One model answer that is being made, and those who read it. */
+/** A model answer in progress, with the sinks that read it. */
 
 import type {RequestError} from '../core/error_kinds.js';
 import type {ModelAnswerSink} from '../ports/answer_sink.js';
 
-/** A whole answer, as it is kept for a repeat. */
+/** A complete answer, kept for repeats of the request. */
 export interface FinishedAnswer {
   readonly fingerprint: string;
   readonly texts: readonly string[];
@@ -15,7 +15,7 @@
   push(texts: readonly string[]): void;
   finish(finishReason: 'stop' | 'length'): void;
   fail(error: RequestError): void;
-  /** Replays what is there, then follows. Returns a way to stop reading. */
+  /** Replays the tokens so far, then follows. Returns a detach function. */
   attach(sink: ModelAnswerSink): () => void;
   readerCount(): number;
   /** Tokens from `fromOffset` on. */
@@ -23,11 +23,11 @@
   tokenCount(): number;
   finished(): FinishedAnswer | undefined;
   hasFailed(): boolean;
-  /** Calls back once, at the next push, end or failure. */
+  /** Calls `callback` once, at the next push, end or failure. */
   onNextChange(callback: () => void): void;
 }
 
-/** Hands a whole answer to a sink in one go. */
+/** Sends a complete answer to a sink. */
 export function replay(answer: FinishedAnswer, sink: ModelAnswerSink): void {
   if (answer.texts.length > 0) sink.tokens(0, answer.texts);
   sink.end(answer.finishReason, answer.texts.length);
@@ -40,31 +40,31 @@
   let finishReason: 'stop' | 'length' | undefined;
   let failure: RequestError | undefined;
 
-  function wake(): void {
-    const woken = waiters;
+  function notifyWaiters(): void {
+    const notified = waiters;
     waiters = [];
-    woken.forEach(waiter => waiter());
+    notified.forEach(waiter => waiter());
   }
 
   return {
     fingerprint,
-    push(fresh) {
+    push(newTexts) {
       const offset = texts.length;
-      texts.push(...fresh);
-      readers.forEach(reader => reader.tokens(offset, fresh));
-      wake();
+      texts.push(...newTexts);
+      readers.forEach(reader => reader.tokens(offset, newTexts));
+      notifyWaiters();
     },
     finish(reason) {
       finishReason = reason;
       readers.forEach(reader => reader.end(reason, texts.length));
       readers.clear();
-      wake();
+      notifyWaiters();
     },
     fail(error) {
       failure = error;
       readers.forEach(reader => reader.fail(error));
       readers.clear();
-      wake();
+      notifyWaiters();
     },
     attach(sink) {
       if (texts.length > 0) sink.tokens(0, texts.slice());
--- a/src/request/machine_driver.ts
+++ b/src/request/machine_driver.ts
@@ -1,7 +1,7 @@
 /**
- * Runs a pure machine: applies each event and has the effects carried out.
- * Events that arise while effects run wait their turn, so that no effect ever
- * sees a state that a later event has made.
+ * Runs a pure state machine: applies each event and performs its effects.
+ * Events sent while effects run are queued, so no effect observes the state of
+ * a later event.
  */
 
 import type {Transition} from '../core/request/transition.js';
@@ -19,7 +19,7 @@
 ): MachineDriver<State, Event> {
   let state = initial;
   let isRunning = false;
-  const waiting: Event[] = [];
+  const pending: Event[] = [];
 
   function apply(event: Event): void {
     const transition = step(state, event);
@@ -29,11 +29,11 @@
 
   return {
     send(event) {
-      waiting.push(event);
+      pending.push(event);
       if (isRunning) return;
       isRunning = true;
       try {
-        for (let next = waiting.shift(); next; next = waiting.shift()) {
+        for (let next = pending.shift(); next; next = pending.shift()) {
           apply(next);
         }
       } finally {
--- a/src/request/model_task.ts
+++ b/src/request/model_task.ts
@@ -1,6 +1,6 @@
 /**
- * The task of one model request: carries out the effects of its machine and
- * turns what engines, homes and timers bring into the machine's events.
+ * The task of one model request. Carries out the effects of its state machine,
+ * and turns results of engines, shard homes and timers into its events.
  */
 
 import {initialModelState, stepModel} from '../core/request/model_machine.js';
@@ -18,12 +18,12 @@
 import {answerKeyOf, type LookUpOutcome} from './kept_answers.js';
 import type {FinishedAnswer} from './live_answer.js';
 import {createMachineDriver} from './machine_driver.js';
-import type {PauseWatch} from './pause_watch.js';
+import type {PauseDetector} from './pause_detector.js';
 import type {Releaser} from './releaser.js';
 import type {RequestHost, RequestRunnerOptions} from './request_host.js';
 import {createNamedTimers} from './timers.js';
 
-/** Where the task's answer goes. */
+/** Receives the answer of a model task. */
 export interface ModelOutput {
   push(texts: readonly string[]): void;
   finish(finishReason: 'stop' | 'length'): void;
@@ -33,7 +33,7 @@
 
 export interface ModelTask {
   callerGone(): void;
-  callerBack(): void;
+  callerReturned(): void;
 }
 
 type EffectHandlers = {
@@ -42,7 +42,7 @@
   ) => void;
 };
 
-/** A port that throws has failed in a way that says nothing of the engine. */
+/** The failure for an exception of a port, whose cause isn't classified. */
 function portFailure(cause: unknown): EngineFailure {
   return {kind: 'failed', reason: 'broken', detail: String(cause)};
 }
@@ -51,15 +51,15 @@
   host: RequestHost,
   options: RequestRunnerOptions,
   releaser: Releaser,
-  pauseWatch: PauseWatch,
+  pauseDetector: PauseDetector,
   request: ModelRequest,
   output: ModelOutput,
   onEnded: () => void,
 ): ModelTask {
   const {clock} = host;
   const {requestId, service} = request;
-  // Request ids may come from callers, who may use one twice at a time: the
-  // release of one request must not free what the other holds.
+  // Callers may use one request id for two concurrent requests. The run id
+  // keeps the release of one from freeing the sessions of the other.
   const runId = host.random.nextId();
   const facts: ModelFacts = {
     requestId,
@@ -71,9 +71,9 @@
     policy: options.model,
   };
   const timers = createNamedTimers<ModelTimer | 'deadline'>(clock);
-  /** Calls whose end is not known, by run and address. */
-  const doubtfulCalls = new Set<string>();
-  let queuePlace: AbortController | undefined;
+  /** Calls whose outcome isn't known, by attempt and address. */
+  const unresolvedCalls = new Set<string>();
+  let grantRequestAbort: AbortController | undefined;
   let stream: DecodeHandle | undefined;
   let isEnded = false;
 
@@ -119,12 +119,12 @@
         return driver.send({kind: 'looked-up', outcome: 'replayed'});
       case 'running':
         driver.send({kind: 'looked-up', outcome: 'adopted'});
-        return readPeer(outcome.address);
+        return followPeerAnswer(outcome.address);
     }
   }
 
-  /** Follows the answer that another entry makes, part by part. */
-  async function readPeer(address: string): Promise<void> {
+  /** Reads an answer in parts from the entry that produces it. */
+  async function followPeerAnswer(address: string): Promise<void> {
     const key = answerKeyOf(request)!;
     while (driver.state().step === 'adopted') {
       const offset = driver.state().deliveredTokens;
@@ -146,9 +146,9 @@
   }
 
   /**
-   * Time left for the first token. Once a run has failed only the whole wait
-   * counts: the target is as good as missed, and a home that held the request
-   * to it would refuse a caller who is still waiting.
+   * Time left for the first token. After a failed run this is the whole
+   * remaining wait: the target can hardly be met any more, and with it a home
+   * would refuse a caller who is still waiting.
    */
   function ttftLeftMs(): number {
     const targetMs = host.ttftTargetMs?.(service);
@@ -164,8 +164,8 @@
     attempt: number,
     resumeOffset: number,
   ): Promise<void> {
-    const place = new AbortController();
-    queuePlace = place;
+    const grantAbort = new AbortController();
+    grantRequestAbort = grantAbort;
     const outcome = await host.grants
       .request(
         {
@@ -181,7 +181,7 @@
           resumeOffset,
           avoidEngineIds: driver.state().failedEngineIds,
         },
-        place.signal,
+        grantAbort.signal,
       )
       .catch((): GrantRefusal => ({
         kind: 'refused',
@@ -190,16 +190,17 @@
       }));
     if (outcome.kind === 'refused') {
       driver.send({kind: 'grant-refused', attempt, refusal: outcome});
-    } else if (pauseWatch.hasJustWoken()) {
-      returnStale(attempt, outcome);
+    } else if (pauseDetector.hasJustResumed()) {
+      returnStaleGrant(attempt, outcome);
     } else driver.send({kind: 'grant-given', attempt, grant: outcome});
   }
 
   /**
-   * The grant may have lapsed while this process was paused, and its engines
-   * may have left since: used now, it would bring them new work.
+   * Returns a grant that arrived after a pause of this process. The grant may
+   * have expired, and its engines may have begun to leave and must get no new
+   * work.
    */
-  function returnStale(attempt: number, grant: Grant): void {
+  function returnStaleGrant(attempt: number, grant: Grant): void {
     host.grants.report(grant, {
       kind: 'ended',
       result: 'cancelled',
@@ -216,7 +217,7 @@
 
   async function prefill(attempt: number, grant: Grant): Promise<void> {
     const name = callName(attempt, grant.prefillAddress);
-    doubtfulCalls.add(name);
+    unresolvedCalls.add(name);
     const result = await host
       .enginePort(grant.prefillAddress)
       .prefill({
@@ -231,7 +232,7 @@
       engineFailed(attempt, grant, 'prefill', result);
       return;
     }
-    doubtfulCalls.delete(name);
+    unresolvedCalls.delete(name);
     driver.send({...result, kind: 'prefill-done', attempt, grant});
   }
 
@@ -240,7 +241,7 @@
   ): Promise<void> {
     const {attempt, grant, kvHandle, kvSizeBytes} = effect;
     const name = callName(attempt, grant.decodeAddress);
-    doubtfulCalls.add(name);
+    unresolvedCalls.add(name);
     const result = await host
       .enginePort(grant.decodeAddress)
       .importKv({
@@ -255,7 +256,7 @@
       engineFailed(attempt, grant, 'import', result);
       return;
     }
-    doubtfulCalls.delete(name);
+    unresolvedCalls.delete(name);
     driver.send({...result, kind: 'import-done', attempt, grant});
   }
 
@@ -298,15 +299,15 @@
     driver.send({kind: 'probed', attempt, isAlive: result === 'alive'});
   }
 
-  function askRetry(): void {
+  function requestRetry(): void {
     const verdict = host.quarantine.verdict(request.fingerprint);
     if (verdict === 'quarantined') {
       host.observer?.onRetryDenied?.(service, 'quarantined');
       driver.send({kind: 'retry-denied'});
       return;
     }
-    // A stream that has begun resumes outside the budget: at most a few times
-    // for each stream, and only after an engine failed under it.
+    // Resuming a stream doesn't use the retry budget. It happens only after an
+    // engine failure and at most a few times for each stream.
     const isResume = driver.state().deliveredTokens > 0;
     if (!isResume && !host.retryBudget.tryTake(service)) {
       host.observer?.onRetryDenied?.(service, 'budget');
@@ -328,7 +329,7 @@
       kind: 'start-due',
       attempt,
       nowMs: clock.nowMs(),
-      isStale: pauseWatch.hasJustWoken(),
+      isStale: pauseDetector.hasJustResumed(),
     }),
     retry: () => ({kind: 'retry-due', nowMs: clock.nowMs()}),
     keep: () => ({kind: 'keep-bound'}),
@@ -336,11 +337,11 @@
     renew: () => ({kind: 'renew-due'}),
   };
 
-  const effects: EffectHandlers = {
+  const effectHandlers: EffectHandlers = {
     'look-up': () => void lookUp(),
     'request-grant': effect =>
       void requestGrant(effect.attempt, effect.resumeOffset),
-    'abandon-grant-request': () => queuePlace?.abort(),
+    'abandon-grant-request': () => grantRequestAbort?.abort(),
     report: effect => host.grants.report(effect.grant, effect.progress),
     prefill: effect => void prefill(effect.attempt, effect.grant),
     import: effect => void importKv(effect),
@@ -350,14 +351,14 @@
       releaser.release(
         effect.address,
         ownerOf(effect.attempt),
-        doubtfulCalls.has(callName(effect.attempt, effect.address)),
+        unresolvedCalls.has(callName(effect.attempt, effect.address)),
       ),
     probe: effect => void probe(effect.attempt, effect.address),
     blame(effect) {
       host.observer?.onEngineBlamed?.(service, effect.engineId);
       host.quarantine.blame(request.fingerprint, effect.engineId);
     },
-    'ask-retry': askRetry,
+    'ask-retry': requestRetry,
     'set-timer'(effect) {
       const {attempt} = driver.state();
       timers.set(effect.timer, effect.delayMs, () =>
@@ -379,7 +380,9 @@
   };
 
   function perform(effect: ModelEffect): void {
-    const handler = effects[effect.kind] as (effect: ModelEffect) => void;
+    const handler = effectHandlers[effect.kind] as (
+      effect: ModelEffect,
+    ) => void;
     handler(effect);
   }
 
@@ -389,6 +392,6 @@
   driver.send({kind: 'started'});
   return {
     callerGone: () => driver.send({kind: 'caller-gone'}),
-    callerBack: () => driver.send({kind: 'caller-back'}),
+    callerReturned: () => driver.send({kind: 'caller-back'}),
   };
 }
--- a/src/request/plain_calls.ts
+++ b/src/request/plain_calls.ts
@@ -1,6 +1,6 @@
 /**
- * The calls of one plain request: picks upstreams, sends calls, and keeps the
- * picker's books of what was started and ended.
+ * The calls of one plain request. Picks upstreams, sends calls, and reports
+ * the start and end of each call to the upstream picker.
  */
 
 import type {OpenCall, PlainCallEvent} from '../core/request/plain_types.js';
@@ -14,12 +14,15 @@
   pick(attempt: number, excludeIds: readonly string[]): void;
   call(call: OpenCall): void;
   abort(attempt: number): void;
-  /** Tries a fresh connection; a dead upstream counts against the request. */
+  /**
+   * Probes the upstream on a new connection. An upstream that doesn't answer is
+   * recorded as a loss under the request's fingerprint.
+   */
   probe(call: OpenCall): Promise<boolean>;
-  askRetry(): void;
+  requestRetry(): void;
 }
 
-const resultOfFailure: Readonly<
+const resultByFailureReason: Readonly<
   Record<PlainFailure['reason'], PlainCallResult>
 > = {
   unreachable: 'unreachable',
@@ -38,14 +41,14 @@
 
 const NOT_RUN_STATUS = 503;
 
-/** An upstream that is leaving says so, and that it did not run the call. */
+/** Whether a leaving upstream refused the call without running it. */
 function isRefusedAsLeaving(answer: PlainAnswer): boolean {
   return (
     answer.status === NOT_RUN_STATUS && answer.headers['x-not-run'] === 'true'
   );
 }
 
-/** The one header form that callers and the journal get. */
+/** Converts an answer to the form for callers and the journal. */
 export function storedAnswerOf(answer: PlainAnswer): StoredAnswer {
   const headers: Record<string, string> = {};
   for (const [name, value] of Object.entries(answer.headers)) {
@@ -78,7 +81,8 @@
           headers: request.headers,
           body: request.body,
           timeoutMs: callTimeoutMs(),
-          // A repeat may not meet the same silent connection again.
+          // A retry requires a proven connection, or it could be sent on the
+          // silent connection that made the first attempt fail.
           connectionProvenWithinMs:
             request.repeatable && call.attempt === 1
               ? 0
@@ -104,7 +108,7 @@
       call.upstreamId,
       outcome.kind === 'answered'
         ? 'answered'
-        : resultOfFailure[outcome.reason],
+        : resultByFailureReason[outcome.reason],
       latencyMs,
     );
     send(
@@ -115,8 +119,8 @@
   }
 
   /**
-   * A call that may not be repeated goes on after its caller's deadline, since
-   * only its answer tells whether it ran.
+   * A non-repeatable call continues after the caller's deadline, since only its
+   * answer shows whether it ran.
    */
   function callTimeoutMs(): number {
     const leftMs = Math.max(1, request.deadlineAtMs - clock.nowMs());
@@ -146,7 +150,7 @@
       host.quarantine.blame(request.fingerprint, call.upstreamId);
       return false;
     },
-    askRetry() {
+    requestRetry() {
       const isQuarantined =
         host.quarantine.verdict(request.fingerprint) === 'quarantined';
       if (isQuarantined || !host.retryBudget.tryTake(request.service)) {
--- a/src/request/plain_task.ts
+++ b/src/request/plain_task.ts
@@ -1,4 +1,4 @@
-/** The task of one repeatable call to a plain service. */
+/** The task of one call to a plain service that may be repeated. */
 
 import {
   initialPlainState,
@@ -60,11 +60,11 @@
     onEnded();
   }
 
-  const effects: EffectHandlers = {
+  const effectHandlers: EffectHandlers = {
     pick: effect => calls.pick(effect.attempt, effect.excludeIds),
     call: effect => calls.call(effect.call),
     'abort-call': effect => calls.abort(effect.attempt),
-    'ask-retry': () => calls.askRetry(),
+    'ask-retry': () => calls.requestRetry(),
     'set-hedge-timer': effect =>
       timers.set('hedge', effect.delayMs, () =>
         driver.send({kind: 'hedge-due'}),
@@ -90,7 +90,9 @@
   };
 
   function perform(effect: PlainEffect): void {
-    const handler = effects[effect.kind] as (effect: PlainEffect) => void;
+    const handler = effectHandlers[effect.kind] as (
+      effect: PlainEffect,
+    ) => void;
     handler(effect);
   }
 
--- a/src/request/quarantine.ts
+++ b/src/request/quarantine.ts
@@ -1,23 +1,28 @@
 /**
- * Recognises requests whose runs keep crashing upstreams, by fingerprint.
+ * Detects requests whose runs repeatedly crash upstreams, by fingerprint, and
+ * refuses them.
  *
- * Bound: a fingerprint that was alone in one of its losses is refused after
- * `aloneLosses` engines, any other after `sharedLosses`. Runs that had begun
- * elsewhere before the facts arrived there come on top: one for each entry.
- * A run that ends whole clears its fingerprint, for a poisonous one never does.
+ * A fingerprint that ran alone in one of its losses is refused after
+ * `aloneLosses` engines, any other after `sharedLosses`. Each other entry may
+ * lose one more engine to a run that started before the fact arrived there. A
+ * complete run clears its fingerprint, since a poisonous request never
+ * completes.
  *
- * When several requests die in one engine, all of them are suspects, and this
- * entry tries them again one at a time, so that the next loss names the cause.
+ * When an engine dies with several requests, all of them are suspects. This
+ * entry then retries them one at a time, so the next loss identifies the cause.
  */
 
 import type {Clock} from '../ports/clock.js';
 
-/** Grows only: losses are added, `clearedCount` rises. Order is no matter. */
+/**
+ * The losses of one fingerprint. Losses are only added and `clearedCount` only
+ * rises, so facts can be merged in any order.
+ */
 export interface LossFact {
   readonly fingerprint: string;
-  /** Names one death of one engine, the same at each entry that saw it. */
+  /** Each identifies one engine death, equally at every entry that saw it. */
   readonly lossIds: readonly string[];
-  /** Losses known when a run of the fingerprint last ended whole. */
+  /** Number of losses when a run of the fingerprint last completed. */
   readonly clearedCount: number;
 }
 
@@ -26,9 +31,9 @@
 export interface QuarantineOptions {
   readonly aloneLosses: number;
   readonly sharedLosses: number;
-  /** A fingerprint without a new loss for this long is forgotten. */
+  /** A fingerprint without a new loss for this long is removed. */
   readonly forgetAfterMs: number;
-  /** Longest wait for the trial of another suspect. */
+  /** How long a suspect waits at most for the trial of another. */
   readonly trialWaitMs: number;
   readonly maxFingerprints: number;
 }
@@ -43,31 +48,34 @@
 
 export interface QuarantineHost {
   readonly clock: Clock;
-  /** Hands a fact to whatever spreads it to the other entries. */
+  /** Sends a fact to the other entries. */
   spread(fact: LossFact): void;
   /**
-   * Names one death of an engine. Not needed where engines keep their ids
-   * over a restart; there the time of the death is part of its name.
+   * Id of the present death of an engine. Absent where engines keep their ids
+   * across restarts; the time of the death then becomes part of the id.
    */
   lossIdOf?(engineId: string): string;
 }
 
 export interface Quarantine {
   verdict(fingerprint: string): QuarantineVerdict;
-  /** An engine was lost while it ran the fingerprint. */
+  /** Records that an engine died while it ran the fingerprint. */
   blame(fingerprint: string, engineId: string): QuarantineVerdict;
-  /** A run ended whole. */
+  /** Records a complete run. */
   clear(fingerprint: string): void;
-  /** A fact from another entry. */
+  /** Merges a fact of another entry. */
   learn(fact: LossFact): void;
   facts(): readonly LossFact[];
-  /** Calls `onTurn` when no other suspect of the same loss is on trial. */
+  /**
+   * Calls `onTurn` once no other suspect of the same loss is on trial, or after
+   * `trialWaitMs`.
+   */
   enterTrial(fingerprint: string, requestId: string, onTurn: () => void): void;
-  /** The request ended, or no longer waits for its turn. */
+  /** Ends the trial of a request, or its wait for one. */
   leaveTrial(requestId: string): void;
 }
 
-/** Deaths of one engine within this time are one loss. */
+/** Deaths of one engine within this time count as one loss. */
 const LOSS_WINDOW_MS = 10_000;
 
 interface Suspect {
@@ -91,27 +99,27 @@
   const fingerprintsByLoss = new Map<string, Set<string>>();
   let trials: readonly Trial[] = [];
 
-  function forget(fingerprint: string, suspect: Suspect): void {
+  function removeSuspect(fingerprint: string, suspect: Suspect): void {
     suspects.delete(fingerprint);
     for (const lossId of suspect.lossIds) {
-      const sharers = fingerprintsByLoss.get(lossId);
-      sharers?.delete(fingerprint);
-      if (sharers?.size === 0) fingerprintsByLoss.delete(lossId);
+      const fingerprints = fingerprintsByLoss.get(lossId);
+      fingerprints?.delete(fingerprint);
+      if (fingerprints?.size === 0) fingerprintsByLoss.delete(lossId);
     }
   }
 
-  function find(fingerprint: string): Suspect | undefined {
+  function findSuspect(fingerprint: string): Suspect | undefined {
     const suspect = suspects.get(fingerprint);
     if (!suspect) return undefined;
     const ageMs = host.clock.nowMs() - suspect.touchedAtMs;
     if (ageMs < options.forgetAfterMs) return suspect;
-    forget(fingerprint, suspect);
+    removeSuspect(fingerprint, suspect);
     return undefined;
   }
 
-  /** Map order is order of use, so the first is the one longest untouched. */
-  function touch(fingerprint: string): Suspect {
-    const suspect = find(fingerprint) ?? {
+  /** Moves a suspect to the end of the map, which is in order of use. */
+  function touchSuspect(fingerprint: string): Suspect {
+    const suspect = findSuspect(fingerprint) ?? {
       lossIds: new Set<string>(),
       clearedCount: 0,
       touchedAtMs: 0,
@@ -120,20 +128,23 @@
     suspects.delete(fingerprint);
     suspects.set(fingerprint, suspect);
     if (suspects.size > options.maxFingerprints) {
-      const [oldest, value] = suspects.entries().next().value!;
-      forget(oldest, value);
+      const [oldest, oldestSuspect] = suspects.entries().next().value!;
+      removeSuspect(oldest, oldestSuspect);
     }
     return suspect;
   }
 
   function addLoss(fingerprint: string, suspect: Suspect, lossId: string) {
     suspect.lossIds.add(lossId);
-    const sharers = fingerprintsByLoss.get(lossId) ?? new Set<string>();
-    sharers.add(fingerprint);
-    fingerprintsByLoss.set(lossId, sharers);
+    const fingerprints = fingerprintsByLoss.get(lossId) ?? new Set<string>();
+    fingerprints.add(fingerprint);
+    fingerprintsByLoss.set(lossId, fingerprints);
   }
 
-  /** A death seen just after a window's end belongs to the one before. */
+  /**
+   * The id holds a time window. A death seen just after the end of a window is
+   * counted in that window if it has a loss of the engine.
+   */
   function lossIdOf(engineId: string): string {
     if (host.lossIdOf) return host.lossIdOf(engineId);
     const window = Math.floor(host.clock.wallMs() / LOSS_WINDOW_MS);
@@ -145,7 +156,7 @@
   }
 
   function verdict(fingerprint: string): QuarantineVerdict {
-    const suspect = find(fingerprint);
+    const suspect = findSuspect(fingerprint);
     const losses = suspect ? suspect.lossIds.size - suspect.clearedCount : 0;
     if (!suspect || losses <= 0) return 'clear';
     const wasAlone = [...suspect.lossIds].some(
@@ -164,12 +175,12 @@
   }
 
   function isBlocked(trial: Trial): boolean {
-    const losses = find(trial.fingerprint)?.lossIds ?? new Set<string>();
+    const losses = findSuspect(trial.fingerprint)?.lossIds ?? new Set<string>();
     return trials.some(
       other =>
         other.hasTurn &&
         other !== trial &&
-        [...(find(other.fingerprint)?.lossIds ?? [])].some(lossId =>
+        [...(findSuspect(other.fingerprint)?.lossIds ?? [])].some(lossId =>
           losses.has(lossId),
         ),
     );
@@ -190,19 +201,19 @@
   return {
     verdict,
     blame(fingerprint, engineId) {
-      const suspect = touch(fingerprint);
+      const suspect = touchSuspect(fingerprint);
       addLoss(fingerprint, suspect, lossIdOf(engineId));
       host.spread(factOf(fingerprint, suspect));
       return verdict(fingerprint);
     },
     clear(fingerprint) {
-      const suspect = find(fingerprint);
+      const suspect = findSuspect(fingerprint);
       if (!suspect || suspect.clearedCount === suspect.lossIds.size) return;
       suspect.clearedCount = suspect.lossIds.size;
       host.spread(factOf(fingerprint, suspect));
     },
     learn(fact) {
-      const suspect = touch(fact.fingerprint);
+      const suspect = touchSuspect(fact.fingerprint);
       for (const lossId of fact.lossIds) {
         addLoss(fact.fingerprint, suspect, lossId);
       }
@@ -213,8 +224,8 @@
         factOf(fingerprint, suspect),
       ),
     enterTrial(fingerprint, requestId, onTurn) {
-      const known = trials.find(trial => trial.requestId === requestId);
-      if (known) {
+      const existing = trials.find(trial => trial.requestId === requestId);
+      if (existing) {
         onTurn();
         return;
       }
--- a/src/request/releaser.ts
+++ b/src/request/releaser.ts
@@ -1,6 +1,6 @@
 /**
- * Tells engines to free what they hold for a run that ended. A lost message
- * is sent again a few times; what still stays is found by the sweep.
+ * Releases the sessions of ended runs at engines. A failed release is retried
+ * a few times; the sweep frees sessions that still remain.
  */
 
 import type {Clock} from '../ports/clock.js';
@@ -20,11 +20,11 @@
 
 export interface Releaser {
   /**
-   * With `isDoubtful`, a call of this run may still be on its way to the
-   * engine. Such a call begins after the release that overtook it, so the
-   * release is sent once more when it must have arrived.
+   * With `mayBeInTransit`, a call of this run may still reach the engine after
+   * the release. The release is then sent again after a delay that covers the
+   * transit of the call.
    */
-  release(address: string, owner: OwnerTag, isDoubtful: boolean): void;
+  release(address: string, owner: OwnerTag, mayBeInTransit: boolean): void;
 }
 
 export function createReleaser(host: ReleaserHost): Releaser {
@@ -38,7 +38,7 @@
       .cancel(owner, CANCEL_TIMEOUT_MS);
     if (outcome === 'released' || outcome.reason === 'refused') return;
     if (tries >= MAX_TRIES) {
-      host.log.warn('An engine could not be told to free a run.', {
+      host.log.warn('Could not release a run at an engine.', {
         requestId: owner.requestId,
         reason: outcome.reason,
       });
@@ -49,9 +49,9 @@
   }
 
   return {
-    release(address, owner, isDoubtful) {
+    release(address, owner, mayBeInTransit) {
       void send(address, owner, 1);
-      if (!isDoubtful) return;
+      if (!mayBeInTransit) return;
       host.clock.setTimer(CONFIRM_AFTER_MS, () => void send(address, owner, 1));
     },
   };
--- a/src/request/request_host.ts
+++ b/src/request/request_host.ts
@@ -1,4 +1,4 @@
-/** What the request tasks need from the process around them. */
+/** The host and the options of the request tasks. */
 
 import type {ErrorKind} from '../core/error_kinds.js';
 import type {stepModel} from '../core/request/model_machine.js';
@@ -19,7 +19,7 @@
 import type {Quarantine} from './quarantine.js';
 import type {RetryBudget} from './retry_budget.js';
 
-/** Told of what happens to requests; the metrics adapter implements it. */
+/** Gets notified of request events; the metrics adapter implements it. */
 export interface RequestObserver {
   onFrameDropped?(service: string, what: 'late' | 'crossed' | 'repeated'): void;
   onRetry?(service: string): void;
@@ -28,7 +28,7 @@
   onRequestEnded?(service: string, result: 'answered' | ErrorKind): void;
 }
 
-/** The machines that the tasks drive; the fault harness swaps in broken ones. */
+/** The state machines of the tasks; the fault harness injects faulty ones. */
 export interface RequestMachines {
   readonly stepModel: typeof stepModel;
   readonly stepPlain: typeof stepPlain;
@@ -40,7 +40,7 @@
   readonly clock: Clock;
   readonly random: Random;
   readonly log: Logger;
-  /** This process as an owner of things at engines, `host#incarnation`. */
+  /** This process as an owner of engine sessions, `host#incarnation`. */
   readonly entry: string;
   readonly enginePort: EnginePortFactory;
   readonly plainPort: PlainServicePortFactory;
@@ -53,7 +53,7 @@
   readonly observer?: RequestObserver;
   /** Hashes of a prompt's prefixes, shortest first. */
   prefixHashes?(promptTokens: readonly number[]): readonly string[];
-  /** Target for the first token of a service; undefined: the whole wait. */
+  /** Target for the first token; undefined if only the whole wait is limited. */
   ttftTargetMs?(service: string): number | undefined;
 }
 
@@ -62,10 +62,13 @@
   readonly plain: PlainPolicy;
   readonly probeTimeoutMs: number;
   readonly retryBaseDelayMs: number;
-  /** Calls that may not be repeated need a connection proven this recently. */
+  /**
+   * A non-repeatable call, or a retry, uses only a connection that was proven
+   * alive within this time.
+   */
   readonly connectionProvenWithinMs: number;
   readonly enginePriorities: Readonly<Record<RequestClass, number>>;
-  /** How long one read of another entry's running answer waits. */
+  /** How long one read of another entry's running answer may wait. */
   readonly peerReadWaitMs: number;
 }
 
--- a/src/request/request_runner.ts
+++ b/src/request/request_runner.ts
@@ -1,4 +1,4 @@
-/** Starts the task that fits a request and knows which requests still run. */
+/** Starts a task for each request and tracks the requests that are running. */
 
 import type {RequestError} from '../core/error_kinds.js';
 import type {
@@ -15,7 +15,7 @@
   type ModelTask,
 } from './model_task.js';
 import {createPlainTask} from './plain_task.js';
-import {createPauseWatch} from './pause_watch.js';
+import {createPauseDetector} from './pause_detector.js';
 import {createReleaser} from './releaser.js';
 import {
   defaultRequestRunnerOptions,
@@ -24,7 +24,7 @@
 } from './request_host.js';
 import {createSingleRunTask} from './single_run_task.js';
 
-const ended: RunningRequest = {callerGone() {}};
+const endedRequest: RunningRequest = {callerGone() {}};
 
 const quarantinedError: RequestError = {
   kind: 'quarantined',
@@ -61,9 +61,9 @@
   };
 }
 
-/** The runner, as the sweep of engine sessions sees it. */
+/** A request runner that the sweep of engine sessions can query by id. */
 export interface SweptRequestRunner extends RequestRunner {
-  /** Whether the request has not ended here. */
+  /** Whether a request with this id is still running in this process. */
   isRunning(requestId: string): boolean;
 }
 
@@ -72,22 +72,22 @@
   options: RequestRunnerOptions = defaultRequestRunnerOptions,
 ): SweptRequestRunner {
   const releaser = createReleaser(host);
-  const pauseWatch = createPauseWatch(host.clock);
+  const pauseDetector = createPauseDetector(host.clock);
   const keyedTasks = new Map<LiveAnswer, ModelTask>();
-  /** By request id; a caller may give the same id to several. */
-  const runningIds = new Map<string, number>();
+  /** Number of running requests by id, since callers may reuse an id. */
+  const runningCounts = new Map<string, number>();
   let activeCount = 0;
 
-  function noteStarted(requestId: string): void {
+  function recordStart(requestId: string): void {
     activeCount++;
-    runningIds.set(requestId, (runningIds.get(requestId) ?? 0) + 1);
+    runningCounts.set(requestId, (runningCounts.get(requestId) ?? 0) + 1);
   }
 
-  function noteEnded(requestId: string): void {
+  function recordEnd(requestId: string): void {
     activeCount--;
-    const left = runningIds.get(requestId)! - 1;
-    if (left > 0) runningIds.set(requestId, left);
-    else runningIds.delete(requestId);
+    const remaining = runningCounts.get(requestId)! - 1;
+    if (remaining > 0) runningCounts.set(requestId, remaining);
+    else runningCounts.delete(requestId);
   }
 
   function isQuarantined(fingerprint: string): boolean {
@@ -98,19 +98,22 @@
     request: ModelRequest,
     sink: ModelAnswerSink,
   ): RunningRequest {
-    noteStarted(request.requestId);
+    recordStart(request.requestId);
     return createModelTask(
       host,
       options,
       releaser,
-      pauseWatch,
+      pauseDetector,
       request,
       directOutput(sink),
-      () => noteEnded(request.requestId),
+      () => recordEnd(request.requestId),
     );
   }
 
-  /** Reads a running answer; the last reader to leave is the caller's end. */
+  /**
+   * Attaches the sink to a running answer. When the last reader disconnects,
+   * the task is told that its caller is gone.
+   */
   function follow(live: LiveAnswer, sink: ModelAnswerSink): RunningRequest {
     const detach = live.attach(sink);
     let isGone = false;
@@ -131,17 +134,17 @@
     const live = host.keptAnswers.open(request);
     const running = follow(live, sink);
     let hasEnded = false;
-    noteStarted(request.requestId);
+    recordStart(request.requestId);
     const task = createModelTask(
       host,
       options,
       releaser,
-      pauseWatch,
+      pauseDetector,
       request,
       liveOutput(live),
       () => {
         hasEnded = true;
-        noteEnded(request.requestId);
+        recordEnd(request.requestId);
         keyedTasks.delete(live);
         host.keptAnswers.close(request, live);
       },
@@ -154,37 +157,38 @@
     runModel(request, sink) {
       host.retryBudget.requestStarted(request.service);
       const key = answerKeyOf(request);
-      const known = key && host.keptAnswers.find(key);
-      if (known && known.fingerprint !== request.fingerprint) {
+      const existing = key && host.keptAnswers.find(key);
+      if (existing && existing.fingerprint !== request.fingerprint) {
         sink.fail(conflictError);
-        return ended;
+        return endedRequest;
       }
-      if (known) {
-        keyedTasks.get(known)?.callerBack();
-        return follow(known, sink);
+      if (existing) {
+        keyedTasks.get(existing)?.callerReturned();
+        return follow(existing, sink);
       }
       if (isQuarantined(request.fingerprint)) {
         sink.fail(quarantinedError);
-        return ended;
+        return endedRequest;
       }
       return key ? startKeyed(request, sink) : runUnkeyed(request, sink);
     },
     runPlain(request, sink) {
       host.retryBudget.requestStarted(request.service);
-      // With a key, an earlier call may have run: the journal is asked first.
+      // With a key, an earlier call may already have run, so the task asks the
+      // journal before it checks the quarantine.
       const isJournalled =
         !request.repeatable && request.idempotencyKey !== undefined;
       if (!isJournalled && isQuarantined(request.fingerprint)) {
         sink.fail(quarantinedError);
-        return ended;
+        return endedRequest;
       }
-      noteStarted(request.requestId);
+      recordStart(request.requestId);
       const create = request.repeatable ? createPlainTask : createSingleRunTask;
       return create(host, options, request, sink, () =>
-        noteEnded(request.requestId),
+        recordEnd(request.requestId),
       );
     },
     activeCount: () => activeCount,
-    isRunning: requestId => runningIds.has(requestId),
+    isRunning: requestId => runningCounts.has(requestId),
   };
 }
--- a/src/request/retry_budget.ts
+++ b/src/request/retry_budget.ts
@@ -1,13 +1,12 @@
 /**
- * How many retries a service may cost, as a share of its requests. Without a
- * bound, a failing service would get its whole load twice or three times just
- * when it can carry least.
+ * Limits the retries of a service to a share of its requests. Without a limit,
+ * retries would double or triple the load of a failing service.
  */
 
 export interface RetryBudgetOptions {
   /**
-   * Retries that are allowed however few requests there were. Where hosts
-   * share an allowance this is one host's part, and changes with their number.
+   * Retries allowed regardless of the number of requests. Where hosts share
+   * this allowance, it is the share of one host and changes with their number.
    */
   burst(): number;
   /** Retries allowed for each request of a service, for example 0.1. */
@@ -15,31 +14,34 @@
 }
 
 export interface RetryBudget {
-  /** A first try of a request. */
+  /** Records the first attempt of a request. */
   requestStarted(service: string): void;
-  /** Takes one retry, if one is left. */
+  /** Takes one retry from the budget; returns whether one was left. */
   tryTake(service: string): boolean;
-  /** One that was taken was not needed. */
+  /** Returns a retry that was taken but not used. */
   giveBack(service: string): void;
-  /** Whether so many could be taken now. */
+  /** Whether `count` retries are left. */
   hasLeft(service: string, count: number): boolean;
 }
 
 export function createRetryBudget(options: RetryBudgetOptions): RetryBudget {
   const tokens = new Map<string, number>();
-  const left = (service: string) =>
+  const availableTokens = (service: string) =>
     Math.min(options.burst(), tokens.get(service) ?? Infinity);
   function add(service: string, count: number): void {
-    tokens.set(service, Math.min(options.burst(), left(service) + count));
+    tokens.set(
+      service,
+      Math.min(options.burst(), availableTokens(service) + count),
+    );
   }
 
   return {
     requestStarted: service => add(service, options.ratioOf(service)),
     giveBack: service => add(service, 1),
-    hasLeft: (service, count) => left(service) >= count,
+    hasLeft: (service, count) => availableTokens(service) >= count,
     tryTake(service) {
-      if (left(service) < 1) return false;
-      tokens.set(service, left(service) - 1);
+      if (availableTokens(service) < 1) return false;
+      tokens.set(service, availableTokens(service) - 1);
       return true;
     },
   };
--- a/src/request/single_run_task.ts
+++ b/src/request/single_run_task.ts
@@ -1,4 +1,4 @@
-/** The task of one call that may not be repeated. */
+/** The task of one call to a plain service that must not be sent twice. */
 
 import {
   initialSingleRunState,
@@ -55,8 +55,8 @@
     isKeyed: request.idempotencyKey !== undefined,
     policy: options.plain,
   };
-  // Request ids may come from callers. A repeat with the id of an earlier call
-  // must not pass for that call's own question, or it would run again.
+  // The request id may come from the caller. If it identified the attempt, a
+  // repeat with the same id would count as the first attempt and run again.
   const attemptId = host.random.nextId();
   const timers = createNamedTimers<'deadline' | 'ask' | 'linger'>(clock);
   let isEnded = false;
@@ -114,8 +114,8 @@
   }
 
   /**
-   * Tries until the end is durable. An end that stays unrecorded leaves the
-   * key in doubt: repeats are told `outcome-unknown` and never run.
+   * Retries until the end is durable. If it is never recorded, repeats with
+   * the key get `outcome-unknown` and don't run.
    */
   async function endIntent(end: JournalEnd, tries: number): Promise<void> {
     const isDurable = await host.journal
@@ -123,7 +123,7 @@
       .catch(() => false);
     if (isDurable || tries >= MAX_END_TRIES) {
       if (!isDurable) {
-        host.log.warn('The end of a call could not be recorded.', {
+        host.log.warn('Could not record the end of a call in the journal.', {
           requestId: request.requestId,
           end: end.kind,
         });
@@ -135,13 +135,13 @@
     clock.setTimer(delayMs, () => void endIntent(end, tries + 1));
   }
 
-  const effects: EffectHandlers = {
+  const effectHandlers: EffectHandlers = {
     'begin-intent': effect => void beginIntent(effect.ask),
     'end-intent': effect => void endIntent(journalEndOf(effect.end), 1),
     pick: effect => calls.pick(effect.attempt, effect.excludeIds),
     call: effect => calls.call(effect.call),
     'abort-call': effect => calls.abort(effect.attempt),
-    'ask-retry': () => calls.askRetry(),
+    'ask-retry': () => calls.requestRetry(),
     suspect: effect => void calls.probe(effect.call),
     'set-timer': effect =>
       timers.set(effect.timer, effect.delayMs, () =>
@@ -166,7 +166,9 @@
   };
 
   function perform(effect: SingleRunEffect): void {
-    const handler = effects[effect.kind] as (effect: SingleRunEffect) => void;
+    const handler = effectHandlers[effect.kind] as (
+      effect: SingleRunEffect,
+    ) => void;
     handler(effect);
   }
 
--- a/src/request/sweep.ts
+++ b/src/request/sweep.ts
@@ -1,6 +1,6 @@
 /**
- * Compares what engines hold with what the owners know, and frees what nobody
- * owns: sessions of entries that died, and sessions that a lost release left.
+ * Finds engine sessions without an owner and frees them: sessions of entries
+ * that died, and sessions whose release was lost.
  */
 
 import type {Clock, TimerHandle} from '../ports/clock.js';
@@ -18,17 +18,17 @@
   /** Addresses of the engines that this process sweeps. */
   addresses(): readonly string[];
   /**
-   * `gone`: the entry lives and does not know the request. `dead`: the entry
-   * itself is gone. `unknown` while it cannot be told; such sessions are left
-   * alone.
+   * State of the request that owns a session. `gone`: its entry is alive and
+   * doesn't run the request. `dead`: its entry is dead. `unknown`: neither can
+   * be determined now, and the session is kept.
    */
   ownerState(owner: OwnerTag): 'running' | 'gone' | 'dead' | 'unknown';
-  onReaped?(owner: OwnerTag): void;
+  onOrphanReleased?(owner: OwnerTag): void;
 }
 
 export interface SweepOptions {
   readonly intervalMs: number;
-  /** A session is freed when its living entry did not know it for this long. */
+  /** A session is freed when its owner has been `gone` for this long. */
   readonly graceMs: number;
   readonly timeoutMs: number;
 }
@@ -40,7 +40,7 @@
 };
 
 export interface Sweep {
-  /** Looks now: an entry was found dead. */
+  /** Runs a round at once, for example when an entry was found dead. */
   nudge(): void;
   stop(): void;
 }
@@ -50,7 +50,7 @@
   options: SweepOptions = defaultSweepOptions,
 ): Sweep {
   const {clock} = host;
-  /** When a session was first seen without an owner. */
+  /** Times at which sessions were first found without an owner. */
   const orphanSinceMs = new Map<string, number>();
   let isStopped = false;
   let isInRound = false;
@@ -64,51 +64,53 @@
       .map(({owner}) => ({owner, state: host.ownerState(owner)}))
       .filter(({state}) => state === 'gone' || state === 'dead');
     await Promise.all(
-      orphans.map(({owner, state}) => reap(address, owner, state === 'dead')),
+      orphans.map(({owner, state}) =>
+        releaseOrphan(address, owner, state === 'dead'),
+      ),
     );
-    return orphans.map(({owner}) => orphanName(address, owner));
+    return orphans.map(({owner}) => orphanKey(address, owner));
   }
 
-  function orphanName(address: string, owner: OwnerTag): string {
+  function orphanKey(address: string, owner: OwnerTag): string {
     return `${address} ${owner.entry} ${owner.attemptId}`;
   }
 
   /**
-   * Waits a grace first: a session may be seen in the moment between the
-   * engine's making it and its owner's hearing of it. A dead entry hears of
-   * nothing, and its suspicion was grace enough: waiting once more kept the
-   * memory of its requests held for over six seconds.
+   * Frees a session after a grace period, since the engine may have created it
+   * before its owner got the answer. For a dead entry there is no grace
+   * period: failure detection has already waited, and a second wait would
+   * hold the memory of its requests for over 6 s.
    */
-  async function reap(
+  async function releaseOrphan(
     address: string,
     owner: OwnerTag,
     isEntryDead: boolean,
   ): Promise<void> {
-    const name = orphanName(address, owner);
-    const sinceMs = orphanSinceMs.get(name) ?? clock.nowMs();
-    orphanSinceMs.set(name, sinceMs);
+    const key = orphanKey(address, owner);
+    const sinceMs = orphanSinceMs.get(key) ?? clock.nowMs();
+    orphanSinceMs.set(key, sinceMs);
     const isInGrace = clock.nowMs() - sinceMs < options.graceMs;
     if (isInGrace && !isEntryDead) return;
     const outcome = await host
       .enginePort(address)
       .cancel(owner, options.timeoutMs);
     if (outcome !== 'released') return;
-    host.onReaped?.(owner);
-    host.log.info('Freed a session whose owner is gone.', {
+    host.onOrphanReleased?.(owner);
+    host.log.info('Freed an engine session without an owner.', {
       requestId: owner.requestId,
     });
   }
 
-  async function round(): Promise<void> {
+  async function runRound(): Promise<void> {
     if (isInRound) return;
     isInRound = true;
     if (timer) clock.clearTimer(timer);
-    const seen = await Promise.all(
+    const found = await Promise.all(
       host.addresses().map(address => sweepEngine(address).catch(() => [])),
     );
-    const orphans = new Set(seen.flat());
-    for (const name of orphanSinceMs.keys()) {
-      if (!orphans.has(name)) orphanSinceMs.delete(name);
+    const orphans = new Set(found.flat());
+    for (const key of orphanSinceMs.keys()) {
+      if (!orphans.has(key)) orphanSinceMs.delete(key);
     }
     isInRound = false;
     schedule();
@@ -116,13 +118,13 @@
 
   function schedule(): void {
     if (isStopped) return;
-    timer = clock.setTimer(options.intervalMs, () => void round());
+    timer = clock.setTimer(options.intervalMs, () => void runRound());
   }
 
   schedule();
   return {
     nudge() {
-      if (!isStopped) void round();
+      if (!isStopped) void runRound();
     },
     stop() {
       isStopped = true;
--- a/src/request/timers.ts
+++ b/src/request/timers.ts
@@ -1,4 +1,4 @@
-/** Named timers of one task; setting a name again replaces the timer. */
+/** The named timers of one task. Setting a name again replaces its timer. */
 
 import type {Clock, TimerHandle} from '../ports/clock.js';
 
--- a/tests/request/journal_owner_test.ts
+++ b/tests/request/journal_owner_test.ts
@@ -13,7 +13,7 @@
 const PARTITION = 3;
 const LEASE_KEY = 'lease/3';
 
-async function createBed() {
+async function createFixture() {
   const clock = createVirtualClock();
   const random = createSeededRandom(5);
   const platform = createPlatformCore({clock, random}, {latencyMs: 1});
@@ -75,8 +75,8 @@
 
 const answer = {status: 201, headers: {}, body: Buffer.from('posted')};
 
-test('a repeat gets the stored answer, another body a conflict', async () => {
-  const {clock, createOwner} = await createBed();
+test('a repeat gets the stored answer, and another body a conflict', async () => {
+  const {clock, createOwner} = await createFixture();
   const owner = createOwner(1);
   const begun = owner.begin(intent());
   await clock.advance(100);
@@ -97,11 +97,11 @@
   assert.equal((await other).kind, 'conflict');
 });
 
-// A parent books a slot. The owner of the key is paused past its lease, wakes,
-// and still believes in it. Meanwhile the next owner has taken the epoch. What
-// the old one writes must not apply, so it may let nobody dispatch.
-test('a holder whose lease has lapsed lets nothing run', async () => {
-  const {clock, createOwner, takeLease} = await createBed();
+// An owner is paused past its lease and resumes without noticing, while the
+// next owner has already taken a new epoch. Writes of the old owner must not
+// apply, so it must not let any call proceed.
+test('an owner whose lease has expired lets no call proceed', async () => {
+  const {clock, createOwner, takeLease} = await createFixture();
   const old = createOwner(1);
   await takeLease(2);
   const begun = old.begin(intent());
@@ -110,11 +110,11 @@
   assert.equal(outcome.kind === 'refused' && outcome.reason, 'not-owner');
 });
 
-// The platform takes an intent, loses its answer and applies it only after the
-// caller was refused as not run. The same key must neither stay blocked by the
-// late intent nor run for the attempt that was refused.
+// The platform loses the answer to an intent and applies the intent only after
+// the caller was refused as not run. The late intent must neither block its key
+// nor let the refused attempt run.
 test('an intent that applies late does not block its key', async () => {
-  const {clock, platform, createOwner} = await createBed();
+  const {clock, platform, createOwner} = await createFixture();
   const owner = createOwner(1);
   platform.setFaults({lateShare: 1, lateMs: 900});
   const begun = owner.begin(intent({timeoutMs: 700}));
@@ -128,10 +128,10 @@
   assert.equal((await again).kind, 'proceed');
 });
 
-// The platform applies the intent and loses the answer. The owner finds its
-// own attempt at the head and lets the call go on.
-test('a lost answer is resolved by reading the head', async () => {
-  const {clock, platform, createOwner} = await createBed();
+// The platform applies an intent and loses the answer. The owner finds its own
+// attempt in the head row and lets the call proceed.
+test('a lost answer is resolved by reading the head row', async () => {
+  const {clock, platform, createOwner} = await createFixture();
   const owner = createOwner(1);
   platform.setFaults({answerLostShare: 1});
   const begun = owner.begin(intent());
@@ -139,10 +139,10 @@
   assert.equal((await begun).kind, 'proceed');
 });
 
-// An entry dies with a posting on its way. The repeat at another entry must
-// not run it again, and must not call it not run either.
-test('a repeat after the death of the entry is told it may have run', async () => {
-  const {clock, dead, createOwner} = await createBed();
+// An entry dies while a posting is in transit. A repeat at another entry must
+// neither run the posting again nor report it as not run.
+test('a repeat after the death of the entry gets outcome-unknown', async () => {
+  const {clock, dead, createOwner} = await createFixture();
   const owner = createOwner(1);
   const begun = owner.begin(intent());
   await clock.advance(100);
@@ -156,8 +156,8 @@
   assert.equal((await repeat).kind, 'outcome-unknown');
 });
 
-test('while the platform is down, intents are refused at once', async () => {
-  const {clock, platform, createOwner} = await createBed();
+test('intents are refused at once while the platform is down', async () => {
+  const {clock, platform, createOwner} = await createFixture();
   const owner = createOwner(1);
   platform.setFaults({isDown: true});
   const first = owner.begin(intent());
@@ -176,8 +176,8 @@
   assert.deepEqual(await third, {kind: 'proceed'});
 });
 
-test('a large answer lies in the object store and comes back whole', async () => {
-  const {clock, platform, createOwner} = await createBed();
+test('a large answer is kept in the object store and replayed whole', async () => {
+  const {clock, platform, createOwner} = await createFixture();
   const owner = createOwner(1);
   const body = Buffer.alloc(5_000, 'x');
   void owner.begin(intent());
@@ -195,7 +195,7 @@
 });
 
 test('many intents share one transaction', async () => {
-  const {clock, platform, createOwner} = await createBed();
+  const {clock, platform, createOwner} = await createFixture();
   const owner = createOwner(1);
   const before = platform.books().writes;
   const begun = Array.from({length: 50}, (_, i) =>
@@ -207,10 +207,10 @@
   assert.equal(platform.books().writes - before, 1);
 });
 
-// Operators change the number of partitions. For a while two owners, each with
-// a lease in force, take the same key for theirs. Only one may let it run.
-test('two owners of one key let it run once', async () => {
-  const {clock, createOwner} = await createBed();
+// While the number of partitions changes, two owners with valid leases may
+// both own a key. Only one of them may let a call with the key run.
+test('two owners of one key let a call run once', async () => {
+  const {clock, createOwner} = await createFixture();
   const [before, after] = [createOwner(1, 3), createOwner(1, 5)];
   const warmUp = [before, after].map((owner, i) =>
     owner.begin(intent({idempotencyKey: `w${i}`, attemptId: `w${i}`})),
@@ -226,8 +226,8 @@
   assert.deepEqual(kinds, ['proceed', 'running']);
 });
 
-test('rows are deleted when their retention is over', async () => {
-  const {clock, platform, createOwner} = await createBed();
+test('rows are deleted after their retention', async () => {
+  const {clock, platform, createOwner} = await createFixture();
   const owner = createOwner(1);
   void owner.begin(intent());
   await clock.advance(100);
--- a/tests/request/kept_answers_test.ts
+++ b/tests/request/kept_answers_test.ts
@@ -19,7 +19,7 @@
   maxSends: 1,
 };
 
-function createBed() {
+function createFixture() {
   const site = createRequestSite(1, noMutant);
   const callers = createSiteCallers(site, () => {});
   const outcomeOf = (sender: string) =>
@@ -30,11 +30,11 @@
   return {site, callers, outcomeOf, prefills};
 }
 
-// A treasurer's connection breaks while a yearly draft is written. The draft is
-// finished all the same. Asking again with the key, at another entry and after
-// the first one has died, gives the draft without a second run.
-test('a finished draft outlives its connection and its entry', async () => {
-  const {site, callers, outcomeOf, prefills} = createBed();
+// A caller's connection breaks during a patient request, which is completed
+// all the same. A repeat with the key at another entry, after the first entry
+// has died, must get the answer without a second run.
+test('a finished draft survives the loss of its connection and entry', async () => {
+  const {site, callers, outcomeOf, prefills} = createFixture();
   callers.schedule({...draft, hangUpAfterMs: 60});
   await site.clock.advance(1_500);
   site.killEntry(0);
@@ -44,10 +44,10 @@
   assert.equal(prefills(), 1);
 });
 
-// While the draft is being written the caller asks a second entry. It follows
-// the running answer instead of paying for another prefill.
+// A repeat reaches a second entry while the request runs at the first. It must
+// follow the running answer instead of computing another prefill.
 test('a repeat at another entry follows the running answer', async () => {
-  const {site, callers, outcomeOf, prefills} = createBed();
+  const {site, callers, outcomeOf, prefills} = createFixture();
   callers.schedule(draft);
   callers.schedule({...draft, sender: 'again', entryIndex: 1, atMs: 160});
   await site.clock.advance(2_000);
@@ -56,10 +56,10 @@
   assert.equal(prefills(), 1);
 });
 
-// The entry that writes the draft dies half way. The repeat at another entry,
-// which was following it, goes on by itself from the last token it has.
-test('a repeat goes on by itself when the entry it follows dies', async () => {
-  const {site, callers, outcomeOf} = createBed();
+// An entry dies in the middle of an answer that a repeat at another entry
+// follows. The repeat must continue by itself from its last token.
+test('a repeat continues by itself when the entry it follows dies', async () => {
+  const {site, callers, outcomeOf} = createFixture();
   callers.schedule(draft);
   callers.schedule({...draft, sender: 'again', entryIndex: 1, atMs: 160});
   await site.clock.advance(200);
@@ -69,7 +69,7 @@
 });
 
 test('a key used with another prompt is a conflict', async () => {
-  const {site, callers, outcomeOf} = createBed();
+  const {site, callers, outcomeOf} = createFixture();
   callers.schedule(draft);
   callers.schedule({
     ...draft,
@@ -86,10 +86,10 @@
   );
 });
 
-// A caller who is not to be kept hangs up in the middle of the answer. The
-// engines have their memory back at once, not when the answer would have ended.
+// A caller of an interactive request hangs up in the middle of the answer. The
+// engines must free its memory at once, not when the answer would have ended.
 test('a caller who hangs up frees the engines at once', async () => {
-  const {site, callers} = createBed();
+  const {site, callers} = createFixture();
   callers.schedule({
     ...draft,
     kind: 'model',
--- a/tests/request/quarantine_test.ts
+++ b/tests/request/quarantine_test.ts
@@ -6,7 +6,7 @@
   type Quarantine,
 } from '../../src/request/quarantine.js';
 
-/** Entries whose facts reach each other at once. */
+/** Creates entries that receive each other's facts at once. */
 function createEntries(count: number) {
   const clock = createVirtualClock();
   const entries: Quarantine[] = [];
@@ -25,9 +25,9 @@
   return {clock, entries};
 }
 
-// A request kills the engine that runs it. Its caller sends it again, each
-// time to another entry. The third sending must be refused everywhere.
-test('a lone poisonous request costs two engines, whatever entry it asks', () => {
+// A request crashes the engine that runs it, and its caller sends it again to
+// another entry each time. The third attempt must be refused at every entry.
+test('a poisonous request that runs alone costs two engines at most', () => {
   const {clock, entries} = createEntries(3);
   assert.equal(entries[0].blame('poison', 'engine-1'), 'suspect');
   clock.advanceSync(20_000);
@@ -38,9 +38,9 @@
   assert.equal(entries[2].verdict('poison'), 'clear');
 });
 
-// Two requests run in one engine when it dies, and only one is to blame. Tried
-// again one after the other, the innocent one ends whole and is cleared.
-test('of two suspects only the poisonous one stays refused', () => {
+// An engine dies with two requests, one of which caused it. Retried one at a
+// time, the innocent one completes and must be cleared.
+test('of two suspects only the poisonous one remains quarantined', () => {
   const {clock, entries} = createEntries(1);
   const [quarantine] = entries;
   quarantine.blame('poison', 'engine-1');
@@ -58,7 +58,7 @@
   assert.equal(quarantine.verdict('poison'), 'quarantined');
 });
 
-test('two reports of one death are one loss', () => {
+test('two reports of one engine death count as one loss', () => {
   const {clock, entries} = createEntries(2);
   clock.advanceSync(9_990);
   entries[0].blame('f', 'engine-1');
--- a/tests/request/retry_budget_test.ts
+++ b/tests/request/retry_budget_test.ts
@@ -16,9 +16,10 @@
   return retries;
 }
 
-test('many hosts together keep to the allowance of one', () => {
-  // A failing service gets its load nearly twice: each of 90 hosts took the
-  // part of a twelfth of the allowance, seven times what all may.
+test('many hosts together stay within the shared retry allowance', () => {
+  // Guards against a wrong share: if each of 90 hosts takes a twelfth of the
+  // allowance, they retry seven times as much as allowed, and a failing service
+  // gets nearly twice its load.
   for (const hostCount of [9, 13, 90]) {
     const requests = 835;
     const retries = countRetries(hostCount, requests);
@@ -29,7 +30,7 @@
   }
 });
 
-test('the part of a host shrinks as others are heard of', () => {
+test('the share of a host shrinks as other hosts appear', () => {
   let hostCount = 1;
   const budget = createRetryBudget({
     burst: () => 10 / hostCount,
@@ -41,7 +42,7 @@
   assert.equal(budget.tryTake('drafts'), false);
 });
 
-test('a retry that is given back can be taken again, and none beyond', () => {
+test('only a returned retry can be taken again', () => {
   const budget = createRetryBudget({burst: () => 2, ratioOf: () => 0});
   assert.equal(budget.hasLeft('drafts', 2), true);
   assert.equal(budget.tryTake('drafts'), true);
