--- a/src/scheduling/dispatcher.ts
+++ b/src/scheduling/dispatcher.ts
@@ -1,6 +1,6 @@
 /**
- * The single dispatcher of one shard of engines. Callback style, so that
- * benches can drive it in virtual time; `shard_home.ts` wraps it in promises.
+ * The dispatcher of one shard of engines. It uses callbacks, so that it can be
+ * driven in virtual time; `shard_home.ts` wraps it in promises.
  */
 
 import {forecastWaitMs, readCapacity} from '../core/scheduling/admission.js';
@@ -15,9 +15,9 @@
   GrantTicket,
   ShardSummary,
 } from './dispatcher_types.js';
-import {refreshForecast, refreshLimits, stepPace} from './engine_limits.js';
-import {createGrantFollower} from './grant_follower.js';
-import {createGrantGiver} from './grant_giver.js';
+import {refreshForecast, refreshLimits, adjustSlots} from './engine_limits.js';
+import {createGrantTracker} from './grant_tracker.js';
+import {createGrantIssuer} from './grant_issuer.js';
 import {createGrantQueue} from './grant_queue.js';
 import {estimateRequest, prefillTokens} from './request_estimates.js';
 import {
@@ -29,13 +29,13 @@
 
 export type {AnnouncedGrant, ShardSummary} from './dispatcher_types.js';
 
-const SWEEP_MS = 100;
-const PACE_EVERY_SWEEPS = 5;
+const SWEEP_INTERVAL_MS = 100;
+const SWEEPS_PER_SLOT_ADJUSTMENT = 5;
 const NO_ENGINE_RETRY_MS = 1_000;
 const NO_TICKET: GrantTicket = {cancel() {}};
 
-/** Takes a grant of an earlier home into the books. */
-function adopt(state: ShardState, announced: AnnouncedGrant): void {
+/** Records a grant of an earlier home and reserves its engines. */
+function adoptGrant(state: ShardState, announced: AnnouncedGrant): void {
   const {grant, request, isDecoding, tokensDelivered} = announced;
   if (state.ledger.get(grant.grantId)) return;
   const nowMs = state.clock.nowMs();
@@ -57,7 +57,7 @@
     promptKvBytes,
     prefillMs: 0,
     grantedAtMs: nowMs,
-    lapsesAtMs: nowMs + Math.max(state.lifeMs, grant.lifeMs),
+    expiresAtMs: nowMs + Math.max(state.lifeMs, grant.lifeMs),
     tokensDelivered,
     tokensAtMs: nowMs,
   });
@@ -98,9 +98,9 @@
 ): Dispatcher {
   const {clock} = host;
   const state = createShardState(host, options);
-  const giver = createGrantGiver(state);
-  const queue = createGrantQueue(state, giver);
-  const follower = createGrantFollower(state, () => queue.pump());
+  const issuer = createGrantIssuer(state);
+  const queue = createGrantQueue(state, issuer);
+  const tracker = createGrantTracker(state, () => queue.grantQueued());
   let isStopped = false;
   let hadEngines = false;
   let sweepCount = 0;
@@ -109,28 +109,28 @@
   function sweep(): void {
     const nowMs = clock.nowMs();
     for (const engine of state.pool.all()) engine.link.prune(nowMs);
-    follower.lapse();
+    tracker.releaseExpired();
     refreshLimits(state);
     refreshForecast(state);
-    if (++sweepCount % PACE_EVERY_SWEEPS === 0) stepPace(state);
+    if (++sweepCount % SWEEPS_PER_SLOT_ADJUSTMENT === 0) adjustSlots(state);
     queue.dropLate();
-    queue.pump();
+    queue.grantQueued();
   }
 
   function scheduleSweep(): void {
-    sweepTimer = clock.setTimer(SWEEP_MS, () => {
+    sweepTimer = clock.setTimer(SWEEP_INTERVAL_MS, () => {
       sweep();
       scheduleSweep();
     });
   }
 
-  function forgetEngine(engineId: string): void {
+  function removeEngine(engineId: string): void {
     state.health.remove(engineId);
     state.prefixes.forget(engineId);
-    follower.forgetEngine(engineId);
+    tracker.removeEngine(engineId);
   }
 
-  /** True once the request is refused without getting into the queue. */
+  /** Refuses a request that must not be queued; returns whether it did. */
   function isRefused(request: GrantRequest, reply: GrantReply): boolean {
     const {pool, shares, ledger} = state;
     if (isStopped) {
@@ -154,26 +154,26 @@
   return {
     ask(request, reply) {
       if (isRefused(request, reply)) return NO_TICKET;
-      const waiting = estimateRequest(state, request, reply);
-      queue.admit(waiting);
+      const queued = estimateRequest(state, request, reply);
+      queue.admit(queued);
       return {
         cancel() {
-          state.queue.remove(waiting);
+          state.queue.remove(queued);
         },
       };
     },
-    report: (grantId, progress) => follower.report(grantId, progress),
+    report: (grantId, progress) => tracker.report(grantId, progress),
     setEngines(engines) {
       const {added, removed} = state.pool.set(engines);
-      for (const engineId of removed) forgetEngine(engineId);
+      for (const engineId of removed) removeEngine(engineId);
       for (const engineId of added) {
         const {role} = state.pool.get(engineId)!.description;
-        // The first list is not a return from failure: no ramp for it.
+        // Engines of the first list haven't failed and need no ramp.
         state.health.add(engineId, role, clock.nowMs(), !hadEngines);
       }
       if (engines.length > 0) hadEngines = true;
       refreshLimits(state);
-      queue.pump();
+      queue.grantQueued();
     },
     setTuning(targets, wasteWeight, accounts) {
       state.targets = targets;
@@ -195,17 +195,17 @@
     },
     engineGone(engineId) {
       if (!state.pool.remove(engineId)) return;
-      forgetEngine(engineId);
+      removeEngine(engineId);
       queue.dropLate();
     },
     entryGone(entryTag) {
-      follower.entryGone(entryTag);
+      tracker.releaseEntry(entryTag);
       const gone = state.queue
         .items()
-        .filter(waiting => waiting.request.owner.entry === entryTag);
-      for (const waiting of gone) queue.drop(waiting, 'cancelled', 0);
+        .filter(queued => queued.request.owner.entry === entryTag);
+      for (const queued of gone) queue.drop(queued, 'cancelled', 0);
     },
-    adopt: announced => adopt(state, announced),
+    adopt: announced => adoptGrant(state, announced),
     summary: () => summarize(state),
     books: () =>
       [...state.pool.all()].map(engine => ({
--- a/src/scheduling/dispatcher_types.ts
+++ b/src/scheduling/dispatcher_types.ts
@@ -1,4 +1,4 @@
-/** What a dispatcher is given, takes and tells. */
+/** The interfaces and data types of a shard's dispatcher. */
 
 import type {AccountLimits} from '../core/scheduling/account_shares.js';
 import type {EngineDescription} from '../core/scheduling/engine_book.js';
@@ -23,7 +23,7 @@
 
 export interface DispatcherOptions {
   readonly shardId: string;
-  /** Counts up with each takeover of the shard. */
+  /** Incremented with each takeover of the shard. */
   readonly homeEpoch: number;
   readonly service: string;
   readonly targets: LatencyTargets;
@@ -31,30 +31,30 @@
   readonly wasteWeight: number;
   readonly maxQueued: number;
   /**
-   * Whether entries repeat an import that found no room for as long as the
-   * prefill's result lives. Only then are slots promised from a forecast:
-   * otherwise each promise that comes a moment early wastes its prefill.
+   * Whether entries retry an import that found no room while the prefill
+   * result is valid. Only then are slots reserved from a forecast, since
+   * without retries a reservation that is slightly early wastes its prefill.
    */
   readonly importsWait?: boolean;
   readonly accounts?: ReadonlyMap<string, AccountLimits>;
   readonly policy?: Partial<SchedulingPolicy>;
   readonly guesses?: Partial<ModelGuesses>;
   readonly health?: Partial<HealthOptions>;
-  /** After a takeover: how long to admit conservatively. 0: not at all. */
+  /** How long to admit conservatively after a takeover; 0 disables it. */
   readonly rebuildMs?: number;
-  /** A grant lapses when nothing is heard of it for this long. */
+  /** A grant expires if it gets no report for this long. */
   readonly grantLifeMs?: number;
 }
 
-/** Answers one request, exactly once unless it is cancelled. */
+/** Called exactly once for each request, or not at all if it is cancelled. */
 export type GrantReply = (outcome: Grant | GrantRefusal) => void;
 
-/** A place in the queue; `cancel` gives it up without a reply. */
+/** A place in the queue; `cancel` removes it without a reply. */
 export interface GrantTicket {
   cancel(): void;
 }
 
-/** A grant that an entry announces again to a new home. */
+/** A grant of an earlier home that its entry announces to a new home. */
 export interface AnnouncedGrant {
   readonly grant: Grant;
   readonly request: GrantRequest;
@@ -62,7 +62,7 @@
   readonly tokensDelivered: number;
 }
 
-/** Small figures for the choice between shards. */
+/** Key figures of a shard, for the choice between shards. */
 export interface ShardSummary {
   readonly shardId: string;
   readonly service: string;
@@ -70,7 +70,7 @@
   readonly freeSlots: number;
   readonly totalSlots: number;
   readonly queued: number;
-  /** Forecast wait of a request of mean size, milliseconds. */
+  /** Forecast wait of a request of mean size. */
   readonly waitMs: number;
   readonly prefillEngines: number;
   readonly decodeEngines: number;
@@ -80,9 +80,9 @@
 export interface Dispatcher {
   ask(request: GrantRequest, reply: GrantReply): GrantTicket;
   report(grantId: string, progress: GrantProgress): void;
-  /** The engines of this shard; those not named are forgotten. */
+  /** Sets the engines of this shard and removes all others. */
   setEngines(engines: readonly EngineDescription[]): void;
-  /** After a change of configuration. */
+  /** Applies settings after a change of configuration. */
   setTuning(
     targets: LatencyTargets,
     wasteWeight: number,
@@ -90,17 +90,17 @@
   ): void;
   applyLoadReport(report: EngineLoadReport): void;
   applyCacheEvents(engineId: string, events: readonly CacheEvent[]): void;
-  /** No new grants from now on; those given go on. */
+  /** Stops new grants on the engine; existing grants continue. */
   markLeaving(engineId: string): void;
   engineGone(engineId: string): void;
-  /** Frees the grants and queue places of an entry that died. */
+  /** Releases the grants and queue places of an entry that died. */
   entryGone(entryTag: string): void;
-  /** Takes over a grant of an earlier home, as its entry announces it. */
+  /** Adopts a grant of an earlier home from the announcement of its entry. */
   adopt(announced: AnnouncedGrant): void;
   summary(): ShardSummary;
-  /** Promises that each engine carries, for checks and status pages. */
+  /** Reserved capacity of each engine, for checks and status pages. */
   books(): readonly EngineBookView[];
-  /** Refuses what waits with `home-moved`; running grants go on. */
+  /** Refuses queued requests with `home-moved`; running grants continue. */
   stop(): void;
 }
 
--- a/src/scheduling/engine_limits.ts
+++ b/src/scheduling/engine_limits.ts
@@ -1,15 +1,18 @@
-/** How much of each engine may be used: health, ramp, pace, rebuilding. */
+/**
+ * Limits on the use of each engine, from its health, its ramp after a failure,
+ * its token interval, and the rebuild after a takeover.
+ */
 
 import {isRebuilding, type ShardState} from './shard_state.js';
 
-/** Share of free slots that a home gives out while it rebuilds. */
+/** Share of the free slots that a home grants while it rebuilds. */
 const REBUILD_SHARE = 0.5;
 const FORECAST_HORIZON_MS = 500;
-/** Shares of the target between which the pace is left alone. */
-const PACE_HIGH = 0.98;
-const PACE_LOW = 0.85;
+/** Shares of the target token interval between which the limit is unchanged. */
+const HIGH_INTERVAL_SHARE = 0.98;
+const LOW_INTERVAL_SHARE = 0.85;
 
-/** Recomputes how much of each engine may be used now. */
+/** Recomputes the health share and the slot limit of each engine. */
 export function refreshLimits(state: ShardState): void {
   const nowMs = state.clock.nowMs();
   for (const engine of state.pool.all()) {
@@ -20,10 +23,10 @@
     let limit = Math.min(description.slots, engine.paceSlots);
     if (share < 1) limit = Math.max(1, Math.floor(limit * share));
     if (isRebuilding(state)) {
-      // A new home does not know yet what the old one promised. It uses
-      // engines only after their own report, and half of what that shows
-      // free, so two homes together exceed an engine by half of its free
-      // slots at most; the engine itself refuses the rest.
+      // A new home doesn't know yet which slots the old home has granted. It
+      // uses an engine only after a load report of the engine itself, and only
+      // half of the slots reported free. So two homes together exceed an engine
+      // by at most half of its free slots, and the engine refuses the excess.
       if (book.lastReportMs() === undefined) share = 0;
       const free = Math.max(0, book.freeSlots());
       const usable = Math.floor(free * REBUILD_SHARE);
@@ -34,7 +37,7 @@
   }
 }
 
-/** Forecasts for each decode engine how fast its answers end. */
+/** Forecasts the rate at which answers end at each decode engine. */
 export function refreshForecast(state: ShardState): void {
   const nowMs = state.clock.nowMs();
   for (const engine of state.pool.decode) engine.endsPerMs = 0;
@@ -50,16 +53,25 @@
   }
 }
 
-/** Fewer slots where tokens come slower than the target, and back. */
-export function stepPace(state: ShardState): void {
+/**
+ * Lowers the slot limit of decode engines whose tokens come slower than the
+ * target interval, and raises it again when they are faster.
+ */
+export function adjustSlots(state: ShardState): void {
   if (!state.policy.limitPace) return;
   for (const engine of state.pool.decode) {
     if (engine.intervalMs === 0) continue;
     const used = engine.book.usedSlots();
     const {slots} = engine.description;
-    if (engine.intervalMs > state.targets.tokenIntervalMs * PACE_HIGH) {
+    if (
+      engine.intervalMs >
+      state.targets.tokenIntervalMs * HIGH_INTERVAL_SHARE
+    ) {
       engine.paceSlots = Math.max(1, Math.min(engine.paceSlots, used) - 1);
-    } else if (engine.intervalMs < state.targets.tokenIntervalMs * PACE_LOW) {
+    } else if (
+      engine.intervalMs <
+      state.targets.tokenIntervalMs * LOW_INTERVAL_SHARE
+    ) {
       engine.paceSlots = Math.min(slots, engine.paceSlots + 1);
     }
   }
--- a/src/scheduling/grant_giver.ts
+++ b/src/scheduling/grant_issuer.ts
@@ -1,21 +1,24 @@
-/** Turns a placement into a grant: books, links, shares and the ledger. */
+/**
+ * Issues the grant for a placement: reserves engines and links, charges the
+ * account's share and records the grant.
+ */
 
 import type {PoolEngine} from '../core/scheduling/engine_pool.js';
 import type {Placement} from '../core/scheduling/placement.js';
 import type {Grant} from '../ports/grants.js';
 import {cachedTokens, costMs} from './request_estimates.js';
-import type {ShardState, Waiting} from './shard_state.js';
+import type {ShardState, QueuedRequest} from './shard_state.js';
 
-export interface GrantGiver {
-  give(waiting: Waiting, placement: Placement): void;
+export interface GrantIssuer {
+  issue(queued: QueuedRequest, placement: Placement): void;
 }
 
-export function createGrantGiver(state: ShardState): GrantGiver {
+export function createGrantIssuer(state: ShardState): GrantIssuer {
   let grantCount = 0;
 
-  function give(waiting: Waiting, placement: Placement): void {
+  function issue(queued: QueuedRequest, placement: Placement): void {
     const nowMs = state.clock.nowMs();
-    const {request} = waiting;
+    const {request} = queued;
     const {prefill, decode} = placement;
     const grantId = `${state.options.shardId}/${state.options.homeEpoch}/${++grantCount}`;
     const startInMs = Math.max(
@@ -33,14 +36,14 @@
       lifeMs: Math.round(state.lifeMs + 2 * (placement.prefillEndMs - nowMs)),
       startInMs: Math.round(startInMs),
     };
-    const cached = cachedTokens(state, waiting, prefill);
-    prefill.book.reserve(grantId, waiting.promptKvBytes, nowMs);
+    const cached = cachedTokens(state, queued, prefill);
+    prefill.book.reserve(grantId, queued.promptKvBytes, nowMs);
     prefill.backlog.add(grantId, placement.prefillMs, nowMs);
-    decode.book.reserve(grantId, waiting.kvBytes, nowMs);
-    bookLinks(grantId, prefill, decode, placement);
-    state.shares.charge(request.account, costMs(state, waiting), nowMs);
-    noteUse(prefill);
-    noteUse(decode);
+    decode.book.reserve(grantId, queued.kvBytes, nowMs);
+    reserveLinks(grantId, prefill, decode, placement);
+    state.shares.charge(request.account, costMs(state, queued), nowMs);
+    recordUse(prefill);
+    recordUse(decode);
     state.ledger.add({
       grant,
       request,
@@ -48,11 +51,11 @@
       decode,
       phase: 'promised',
       expectedCached: cached,
-      kvBytes: waiting.kvBytes,
-      promptKvBytes: waiting.promptKvBytes,
+      kvBytes: queued.kvBytes,
+      promptKvBytes: queued.promptKvBytes,
       prefillMs: placement.prefillMs,
       grantedAtMs: nowMs,
-      lapsesAtMs: nowMs + grant.lifeMs,
+      expiresAtMs: nowMs + grant.lifeMs,
       tokensDelivered: request.resumeOffset,
       tokensAtMs: nowMs,
     });
@@ -62,11 +65,11 @@
         request.prefixHashes,
       );
     }
-    waiting.reply(grant);
+    queued.reply(grant);
   }
 
-  /** An engine that is tried again gets no second request at once. */
-  function noteUse(engine: PoolEngine): void {
+  /** Updates the health share, so an engine on trial gets one request only. */
+  function recordUse(engine: PoolEngine): void {
     const nowMs = state.clock.nowMs();
     const {engineId} = engine.description;
     state.health.noteUse(engineId, nowMs);
@@ -74,7 +77,7 @@
       engine.share = state.health.share(engineId, nowMs);
   }
 
-  function bookLinks(
+  function reserveLinks(
     grantId: string,
     prefill: PoolEngine,
     decode: PoolEngine,
@@ -85,5 +88,5 @@
     decode.link.book(grantId, times.transferStartMs, times.transferMs);
   }
 
-  return {give};
+  return {issue};
 }
--- a/src/scheduling/grant_ledger.ts
+++ b/src/scheduling/grant_ledger.ts
@@ -1,4 +1,4 @@
-/** The grants that one home has out. */
+/** The outstanding grants of one home. */
 
 import type {PoolEngine} from '../core/scheduling/engine_pool.js';
 import type {Grant, GrantRequest} from '../ports/grants.js';
@@ -6,7 +6,7 @@
 export interface HeldGrant {
   readonly grant: Grant;
   readonly request: GrantRequest;
-  /** Undefined once the engine is gone or no longer used. */
+  /** Undefined if the engine was removed or is no longer used. */
   prefill: PoolEngine | undefined;
   decode: PoolEngine | undefined;
   phase: 'promised' | 'prefilling' | 'prefilled' | 'decoding';
@@ -15,11 +15,11 @@
   readonly promptKvBytes: number;
   readonly prefillMs: number;
   readonly grantedAtMs: number;
-  lapsesAtMs: number;
+  expiresAtMs: number;
   tokensDelivered: number;
   tokensAtMs: number;
-  /** Its entry is gone; it is freed shortly. */
-  isLingering?: boolean;
+  /** Whether a delayed release is scheduled, since its entry is silent. */
+  isReleaseScheduled?: boolean;
 }
 
 export interface GrantLedger {
--- a/src/scheduling/grant_queue.ts
+++ b/src/scheduling/grant_queue.ts
@@ -1,6 +1,6 @@
 /**
- * The queue of one shard: who is let in, who gets the next grant, and who is
- * refused as soon as it is known that the grant would come too late.
+ * The queue of one shard. Admits requests, grants them in order, and refuses a
+ * request as soon as the forecast says that its grant would come too late.
  */
 
 import {
@@ -14,24 +14,35 @@
 import type {TimerHandle} from '../ports/clock.js';
 import type {GrantRefusal, GrantRequest} from '../ports/grants.js';
 import type {GrantReply} from './dispatcher_types.js';
-import type {GrantGiver} from './grant_giver.js';
+import type {GrantIssuer} from './grant_issuer.js';
 import {prefillMsOn} from './request_estimates.js';
-import {isRebuilding, type ShardState, type Waiting} from './shard_state.js';
+import {
+  isRebuilding,
+  type ShardState,
+  type QueuedRequest,
+} from './shard_state.js';
 
-const MIN_PUMP_DELAY_MS = 2;
+const MIN_GRANT_DELAY_MS = 2;
 const LINK_RETRY_MS = 20;
-/** A waiting request is dropped once its forecast is late by this much. */
+/**
+ * A queued request is dropped if its forecast is late by more than this share
+ * of its time to the first token.
+ */
 const DROP_LATE_SHARE = 0.25;
 
 export interface GrantQueue {
   /** Queues, grants or refuses a request. */
-  admit(waiting: Waiting): void;
-  /** Gives grants to waiting requests, in order, until none fits. */
-  pump(): void;
-  /** Drops what the forecast says will be late, as soon as it says so. */
+  admit(queued: QueuedRequest): void;
+  /** Grants queued requests in order until none fits. */
+  grantQueued(): void;
+  /** Refuses queued requests that the forecast shows to be late. */
   dropLate(): void;
-  drop(waiting: Waiting, reason: GrantRefusal['reason'], lateMs: number): void;
-  /** Refuses a request that never got into the queue. */
+  drop(
+    queued: QueuedRequest,
+    reason: GrantRefusal['reason'],
+    lateMs: number,
+  ): void;
+  /** Refuses a request that isn't in the queue. */
   refuse(
     reply: GrantReply,
     reason: GrantRefusal['reason'],
@@ -42,9 +53,9 @@
 
 export function createGrantQueue(
   state: ShardState,
-  giver: GrantGiver,
+  issuer: GrantIssuer,
 ): GrantQueue {
-  let pumpTimer: TimerHandle | undefined;
+  let grantTimer: TimerHandle | undefined;
   let isStopped = false;
 
   function refuse(
@@ -56,15 +67,15 @@
     reply({kind: 'refused', reason, retryAfterMs});
   }
 
-  function dropWaiting(
-    waiting: Waiting,
+  function dropQueued(
+    queued: QueuedRequest,
     reason: GrantRefusal['reason'],
     lateMs: number,
   ): void {
-    if (state.queue.remove(waiting)) refuse(waiting.reply, reason, lateMs);
+    if (state.queue.remove(queued)) refuse(queued.reply, reason, lateMs);
   }
 
-  /** Without the engines that failed the request, while there are others. */
+  /** Excludes engines that failed the request, if others take new work. */
   function withoutFailed(
     engines: readonly PoolEngine[],
     {avoidEngineIds = []}: GrantRequest,
@@ -76,15 +87,15 @@
     return others.some(takesNewWork) ? others : engines;
   }
 
-  function tryPlace(waiting: Waiting, held?: PoolEngine) {
+  function tryPlace(queued: QueuedRequest, held?: PoolEngine) {
     return place(
-      withoutFailed(state.pool.prefill, waiting.request),
-      withoutFailed(state.pool.decode, waiting.request),
+      withoutFailed(state.pool.prefill, queued.request),
+      withoutFailed(state.pool.decode, queued.request),
       {
-        promptKvBytes: waiting.promptKvBytes,
-        decodeKvBytes: waiting.kvBytes,
-        prefillMs: waiting.prefillMs,
-        prefillMsOn: engine => prefillMsOn(state, waiting, engine),
+        promptKvBytes: queued.promptKvBytes,
+        decodeKvBytes: queued.kvBytes,
+        prefillMs: queued.prefillMs,
+        prefillMsOn: engine => prefillMsOn(state, queued, engine),
       },
       state.policy,
       state.clock.nowMs(),
@@ -92,46 +103,45 @@
     );
   }
 
-  /** Gives grants to waiting requests, in order, until none fits. */
-  function pump(): void {
+  function grantQueued(): void {
     if (isStopped) return;
     let index = 0;
     let held: PoolEngine | undefined;
     let smallestBlockedKv = Number.POSITIVE_INFINITY;
     let scanned = 0;
     while (index < state.queue.size() && scanned < state.policy.scanLimit) {
-      const waiting = state.queue.at(index);
-      if (waiting.latestStartMs < state.clock.nowMs()) {
-        dropWaiting(waiting, 'not-feasible', 0);
+      const queued = state.queue.at(index);
+      if (queued.latestStartMs < state.clock.nowMs()) {
+        dropQueued(queued, 'not-feasible', 0);
         continue;
       }
-      if (waiting.kvBytes >= smallestBlockedKv) {
+      if (queued.kvBytes >= smallestBlockedKv) {
         scanned++;
         index++;
         continue;
       }
-      const placement = tryPlace(waiting, held);
+      const placement = tryPlace(queued, held);
       if (placement.kind === 'placed') {
-        state.queue.remove(waiting);
-        giver.give(waiting, placement);
+        state.queue.remove(queued);
+        issuer.issue(queued, placement);
         continue;
       }
       if (placement.by === 'prefill' || placement.by === 'no-engine') break;
       if (placement.by === 'decode') {
-        smallestBlockedKv = waiting.kvBytes;
-        // The first that does not fit keeps the engine that will have room
-        // first, or smaller ones would pass it for ever.
+        smallestBlockedKv = queued.kvBytes;
+        // The first request that doesn't fit keeps the engine that will have
+        // room first. Otherwise smaller requests could overtake it forever.
         held ??= placement.waitFor;
       }
       scanned++;
       index++;
     }
-    schedulePump();
+    scheduleGrants();
   }
 
-  /** Prefill engines get free as time passes, without any report. */
-  function schedulePump(): void {
-    if (pumpTimer || state.queue.size() === 0 || isStopped) return;
+  /** Schedules a retry, since prefill engines become free without a report. */
+  function scheduleGrants(): void {
+    if (grantTimer || state.queue.size() === 0 || isStopped) return;
     const nowMs = state.clock.nowMs();
     let delayMs = LINK_RETRY_MS;
     for (const engine of state.pool.prefill) {
@@ -140,71 +150,70 @@
       const roomInMs = freeInMs - state.policy.prefillAheadMs;
       if (roomInMs > 0) delayMs = Math.min(delayMs, roomInMs);
     }
-    pumpTimer = state.clock.setTimer(
-      Math.max(MIN_PUMP_DELAY_MS, delayMs),
+    grantTimer = state.clock.setTimer(
+      Math.max(MIN_GRANT_DELAY_MS, delayMs),
       () => {
-        pumpTimer = undefined;
-        pump();
+        grantTimer = undefined;
+        grantQueued();
       },
     );
   }
 
-  /** The waiting request to drop so that `account` gets its share. */
-  function findDisplaceable(account: string): Waiting | undefined {
+  /** Finds the queued request to drop so that `account` gets its share. */
+  function findDisplaceable(account: string): QueuedRequest | undefined {
     const nowMs = state.clock.nowMs();
     const ownUse = state.shares.normalizedUse(account, nowMs);
     let mostUse = ownUse;
-    let victim: Waiting | undefined;
+    let displaced: QueuedRequest | undefined;
     for (const other of state.queue.accounts()) {
       const use = state.shares.normalizedUse(other, nowMs);
       if (use <= mostUse) continue;
       mostUse = use;
-      victim = state.queue.ofAccount(other).at(-1);
+      displaced = state.queue.ofAccount(other).at(-1);
     }
-    return victim;
+    return displaced;
   }
 
-  function lateMsOf(waiting: Waiting, ahead: WorkAhead): number {
+  function lateMsOf(queued: QueuedRequest, ahead: WorkAhead): number {
     const nowMs = state.clock.nowMs();
     const waitMs = forecastWaitMs(
       readCapacity(state.pool, nowMs),
       ahead,
-      waiting.kvBytes,
+      queued.kvBytes,
       state.model.meanHoldMs(),
     );
-    return nowMs + waitMs - waiting.latestStartMs;
+    return nowMs + waitMs - queued.latestStartMs;
   }
 
-  function admit(waiting: Waiting): void {
+  function admit(queued: QueuedRequest): void {
     if (state.queue.size() >= state.options.maxQueued) {
-      const victim = state.policy.isFair
-        ? findDisplaceable(waiting.account)
+      const displaced = state.policy.isFair
+        ? findDisplaceable(queued.account)
         : undefined;
-      if (!victim) {
-        refuse(waiting.reply, 'queue-full', state.model.meanHoldMs());
+      if (!displaced) {
+        refuse(queued.reply, 'queue-full', state.model.meanHoldMs());
         return;
       }
-      dropWaiting(victim, 'queue-full', state.model.meanHoldMs());
+      dropQueued(displaced, 'queue-full', state.model.meanHoldMs());
     }
     if (state.policy.refuseEarly && !isRebuilding(state)) {
-      const lateMs = lateMsOf(waiting, state.queue.workBefore(waiting.orderMs));
+      const lateMs = lateMsOf(queued, state.queue.workBefore(queued.orderMs));
       if (lateMs > 0) {
-        const victim = state.policy.isFair
-          ? findDisplaceable(waiting.account)
+        const displaced = state.policy.isFair
+          ? findDisplaceable(queued.account)
           : undefined;
-        if (!victim || waiting.latestStartMs < state.clock.nowMs()) {
-          refuse(waiting.reply, 'not-feasible', lateMs);
+        if (!displaced || queued.latestStartMs < state.clock.nowMs()) {
+          refuse(queued.reply, 'not-feasible', lateMs);
           return;
         }
-        dropWaiting(victim, 'not-feasible', lateMs);
+        dropQueued(displaced, 'not-feasible', lateMs);
       }
     }
-    state.queue.add(waiting);
-    if (state.queue.size() === 1 || state.queue.at(0) === waiting) pump();
-    else schedulePump();
+    state.queue.add(queued);
+    if (state.queue.size() === 1 || state.queue.at(0) === queued) grantQueued();
+    else scheduleGrants();
   }
 
-  /** Drops what the forecast says will be late, as soon as it says so. */
   function dropLate(): void {
     if (state.queue.size() === 0 || !state.policy.refuseEarly) return;
     if (isRebuilding(state)) return;
@@ -214,7 +223,7 @@
     let count = 0;
     let prefillMs = 0;
     let kvBytes = 0;
-    const late: {waiting: Waiting; lateMs: number}[] = [];
+    const late: {waiting: QueuedRequest; lateMs: number}[] = [];
     for (const waiting of state.queue.items()) {
       const ahead = {count, prefillMs, kvBytes};
       const waitMs = forecastWaitMs(
@@ -234,21 +243,21 @@
       kvBytes += waiting.kvBytes;
     }
     for (const each of late) {
-      dropWaiting(each.waiting, 'not-feasible', each.lateMs);
+      dropQueued(each.waiting, 'not-feasible', each.lateMs);
     }
   }
 
   return {
     admit,
-    pump,
+    grantQueued,
     dropLate,
-    drop: dropWaiting,
+    drop: dropQueued,
     refuse,
     stop() {
       isStopped = true;
-      if (pumpTimer) state.clock.clearTimer(pumpTimer);
-      for (const waiting of [...state.queue.items()]) {
-        dropWaiting(waiting, 'home-moved', 0);
+      if (grantTimer) state.clock.clearTimer(grantTimer);
+      for (const queued of [...state.queue.items()]) {
+        dropQueued(queued, 'home-moved', 0);
       }
     },
   };
--- a/src/scheduling/grant_follower.ts
+++ b/src/scheduling/grant_tracker.ts
@@ -1,6 +1,6 @@
 /**
- * Follows grants through their steps: learns from each, and frees what they
- * hold at their end, their lapse or their entry's death.
+ * Tracks the progress of grants. Updates the service model from each step, and
+ * releases reservations when a grant ends or expires or its entry dies.
  */
 
 import type {PoolEngine} from '../core/scheduling/engine_pool.js';
@@ -10,29 +10,29 @@
 import {prefillTokens} from './request_estimates.js';
 import type {ShardState} from './shard_state.js';
 
-/** Time in which an engine frees what a vanished entry held. */
-const LINGER_MS = 1_000;
-/** One prefill moves the learned times by no more than this factor. */
+/** Time in which engines free the sessions of an entry that died. */
+const RELEASE_DELAY_MS = 1_000;
+/** A single prefill sample is capped at this multiple of the estimate. */
 const MAX_PREFILL_SAMPLE_FACTOR = 4;
 const MIN_PREFILL_SAMPLES = 6;
-const MIN_TOKENS_FOR_PACE = 4;
-const PACE_SMOOTHING = 0.2;
+const MIN_TOKENS_PER_INTERVAL_SAMPLE = 4;
+const INTERVAL_SMOOTHING = 0.2;
 
-export interface GrantFollower {
+export interface GrantTracker {
   report(grantId: string, progress: GrantProgress): void;
-  /** Frees grants of which nothing was heard for their life. */
-  lapse(): void;
-  entryGone(entryTag: string): void;
-  /** Grants no longer use this engine. */
-  forgetEngine(engineId: string): void;
+  /** Schedules the release of grants that have expired. */
+  releaseExpired(): void;
+  releaseEntry(entryTag: string): void;
+  /** Removes an engine from the health records and from all grants. */
+  removeEngine(engineId: string): void;
 }
 
-/** @param afterRelease Called when room has been made. */
-export function createGrantFollower(
+/** @param afterRelease Called when capacity has been released. */
+export function createGrantTracker(
   state: ShardState,
   afterRelease: () => void,
-): GrantFollower {
-  function leavePrefill(held: HeldGrant): void {
+): GrantTracker {
+  function releasePrefill(held: HeldGrant): void {
     const {grantId} = held.grant;
     held.prefill?.backlog.remove(grantId, state.clock.nowMs());
     held.prefill?.book.release(grantId);
@@ -41,17 +41,20 @@
   }
 
   function release(held: HeldGrant): void {
-    leavePrefill(held);
+    releasePrefill(held);
     held.decode?.book.release(held.grant.grantId);
     state.ledger.remove(held.grant.grantId);
   }
 
-  /** Frees a grant whose entry is silent, once its engines must have too. */
-  function releaseLater(held: HeldGrant): void {
-    if (held.isLingering) return;
-    held.isLingering = true;
-    state.clock.setTimer(LINGER_MS, () => {
-      if (!held.isLingering) return;
+  /**
+   * Releases a grant whose entry is silent, after its engines have had time to
+   * free their sessions.
+   */
+  function scheduleRelease(held: HeldGrant): void {
+    if (held.isReleaseScheduled) return;
+    held.isReleaseScheduled = true;
+    state.clock.setTimer(RELEASE_DELAY_MS, () => {
+      if (!held.isReleaseScheduled) return;
       release(held);
       afterRelease();
     });
@@ -100,11 +103,15 @@
     state.model.prefill.learn(Math.max(1, tokens), sampleMs);
   }
 
-  function noteTokens(held: HeldGrant, tokensDelivered: number): void {
+  function recordTokens(held: HeldGrant, tokensDelivered: number): void {
     const nowMs = state.clock.nowMs();
     const tokens = tokensDelivered - held.tokensDelivered;
     const engine = held.decode;
-    if (tokens >= MIN_TOKENS_FOR_PACE && engine && held.phase === 'decoding') {
+    if (
+      tokens >= MIN_TOKENS_PER_INTERVAL_SAMPLE &&
+      engine &&
+      held.phase === 'decoding'
+    ) {
       const intervalMs = (nowMs - held.tokensAtMs) / tokens;
       const {engineId} = engine.description;
       state.health.sample(engineId, intervalMs, nowMs);
@@ -114,7 +121,7 @@
         engine.intervalMs === 0
           ? intervalMs
           : engine.intervalMs +
-            PACE_SMOOTHING * (intervalMs - engine.intervalMs);
+            INTERVAL_SMOOTHING * (intervalMs - engine.intervalMs);
     }
     if (tokens > 0 || held.phase !== 'decoding') {
       held.tokensDelivered = Math.max(held.tokensDelivered, tokensDelivered);
@@ -127,7 +134,7 @@
     progress: Extract<GrantProgress, {kind: 'ended'}>,
   ): void {
     const nowMs = state.clock.nowMs();
-    noteTokens(held, progress.tokensDelivered);
+    recordTokens(held, progress.tokensDelivered);
     if (progress.result === 'whole') {
       state.model
         .lengths(held.request.requestClass)
@@ -165,23 +172,23 @@
     },
     'decode-started': held => {
       if (held.phase === 'decoding') return;
-      leavePrefill(held);
+      releasePrefill(held);
       held.phase = 'decoding';
       held.tokensAtMs = state.clock.nowMs();
       afterRelease();
     },
-    renew: (held, progress) => noteTokens(held, progress.tokensDelivered),
+    renew: (held, progress) => recordTokens(held, progress.tokensDelivered),
     ended: onEnded,
   };
 
-  function lapse(): void {
+  function releaseExpired(): void {
     const nowMs = state.clock.nowMs();
     for (const held of state.ledger.all()) {
-      if (held.lapsesAtMs < nowMs) releaseLater(held);
+      if (held.expiresAtMs < nowMs) scheduleRelease(held);
     }
   }
 
-  function forgetEngine(engineId: string): void {
+  function removeEngine(engineId: string): void {
     state.health.remove(engineId);
     state.prefixes.forget(engineId);
     for (const held of state.ledger.all()) {
@@ -198,21 +205,21 @@
     report(grantId, progress) {
       const held = state.ledger.get(grantId);
       if (!held) return;
-      const heardUntilMs = state.clock.nowMs() + state.lifeMs;
-      held.lapsesAtMs = Math.max(held.lapsesAtMs, heardUntilMs);
-      held.isLingering = false;
+      const extendedLapseMs = state.clock.nowMs() + state.lifeMs;
+      held.expiresAtMs = Math.max(held.expiresAtMs, extendedLapseMs);
+      held.isReleaseScheduled = false;
       const handle = progressHandlers[progress.kind] as (
         held: HeldGrant,
         progress: GrantProgress,
       ) => void;
       handle(held, progress);
     },
-    lapse,
-    entryGone(entryTag) {
+    releaseExpired,
+    releaseEntry(entryTag) {
       for (const held of state.ledger.all()) {
-        if (held.request.owner.entry === entryTag) releaseLater(held);
+        if (held.request.owner.entry === entryTag) scheduleRelease(held);
       }
     },
-    forgetEngine,
+    removeEngine,
   };
 }
--- a/src/scheduling/plain_balancer.ts
+++ b/src/scheduling/plain_balancer.ts
@@ -1,12 +1,13 @@
 /**
- * Chooses an upstream of a plain service: fewest outstanding calls, then by
- * lot, weighted by how fast each answers, with the same health rules as the
- * engines.
+ * Chooses an upstream of a plain service: one with the fewest outstanding
+ * calls, at random among equals with a weight by latency. Health follows the
+ * same rules as for engines.
  *
- * The lot matters where many hosts share few upstreams. Each has hardly ever a
- * call outstanding, and all see the same upstream answer fastest: when each
- * took the fastest one, 68 hosts took the same of three (in virtual time, see
- * the test). By lot each gets a third of the calls, within a quarter.
+ * The random choice matters where many hosts share few upstreams. Each host
+ * rarely has an outstanding call, and all see the same upstream as the
+ * fastest. Always taking the fastest sends the calls of 68 hosts to one of
+ * three upstreams; a random choice gives each a third, within 25 % (in virtual
+ * time, see the test).
  */
 
 import {
@@ -32,15 +33,15 @@
 export interface PlainBalancerOptions {
   readonly ownFailureDomain: string;
   readonly health?: Partial<HealthOptions>;
-  /** Cost of a call to another failure domain. */
-  readonly awayMs?: number;
+  /** Latency added for upstreams in another failure domain. */
+  readonly otherDomainCostMs?: number;
 }
 
-/** How a call ended, as far as it tells of the upstream. */
+/** Result of a call, as it concerns the health of the upstream. */
 export type PlainCallResult = 'ok' | 'failed' | 'timeout' | 'cancelled';
 
 export interface PlainBalancer {
-  /** Undefined when no upstream may take new work. */
+  /** Undefined if no upstream may take new work. */
   pick(
     service: string,
     exclude: ReadonlySet<string>,
@@ -53,7 +54,7 @@
     latencyMs: number,
   ): void;
   setUpstreams(service: string, upstreams: readonly PlainUpstream[]): void;
-  /** No new calls from now on. */
+  /** Stops new calls to the upstream. */
   markLeaving(service: string, upstreamId: string): void;
   outstanding(service: string): number;
 }
@@ -71,27 +72,28 @@
   hadUpstreams: boolean;
 }
 
-const DEFAULT_AWAY_MS = 3;
-const FIRST_LATENCY_MS = 5;
-const SMOOTHING = 0.2;
-/** One that is tried again, or is new, is still drawn now and then. */
-const FEWEST_SHARE = 0.01;
+const DEFAULT_OTHER_DOMAIN_COST_MS = 3;
+const INITIAL_LATENCY_MS = 5;
+const LATENCY_SMOOTHING = 0.2;
+/** Minimum health share, so a new or recovering upstream still gets calls. */
+const MIN_SHARE = 0.01;
 const POOL = 'plain';
-/** Quick calls vary by more than engines do. */
+/** Latencies of short calls vary more than those of engines. */
 const PLAIN_HEALTH: Partial<HealthOptions> = {
   slowFactor: 4,
   minSamples: 8,
   failuresToEject: 3,
 };
-/** Differences below this are noise to the slowness check. */
-const SLOWNESS_GRAIN_MS = 5;
+/** Added to latencies so the slowness check ignores smaller differences. */
+const SLOWNESS_TOLERANCE_MS = 5;
 
 export function createPlainBalancer(
   host: PlainBalancerHost,
   options: PlainBalancerOptions,
 ): PlainBalancer {
   const {clock, random} = host;
-  const awayMs = options.awayMs ?? DEFAULT_AWAY_MS;
+  const otherDomainCostMs =
+    options.otherDomainCostMs ?? DEFAULT_OTHER_DOMAIN_COST_MS;
   const services = new Map<string, ServicePool>();
 
   function poolOf(service: string): ServicePool {
@@ -109,19 +111,17 @@
   }
 
   const shareOf = (pool: ServicePool, {upstream}: UpstreamState) =>
-    Math.max(
-      pool.health.share(upstream.upstreamId, clock.nowMs()),
-      FEWEST_SHARE,
-    );
+    Math.max(pool.health.share(upstream.upstreamId, clock.nowMs()), MIN_SHARE);
 
-  /** Calls outstanding with one more, as a part of what it may take. */
-  function busyness(pool: ServicePool, state: UpstreamState): number {
+  /** Outstanding calls with one more, relative to the health share. */
+  function relativeLoad(pool: ServicePool, state: UpstreamState): number {
     return (state.outstanding + 1) / shareOf(pool, state);
   }
 
-  function weigh(pool: ServicePool, state: UpstreamState): number {
-    const isAway = state.upstream.failureDomain !== options.ownFailureDomain;
-    const costMs = state.latencyMs + (isAway ? awayMs : 0);
+  function weightOf(pool: ServicePool, state: UpstreamState): number {
+    const isOtherDomain =
+      state.upstream.failureDomain !== options.ownFailureDomain;
+    const costMs = state.latencyMs + (isOtherDomain ? otherDomainCostMs : 0);
     return shareOf(pool, state) / costMs;
   }
 
@@ -129,26 +129,30 @@
     pool: ServicePool,
     candidates: readonly UpstreamState[],
   ): PlainUpstream | undefined {
-    const fewest = Math.min(...candidates.map(each => busyness(pool, each)));
-    const least = candidates.filter(each => busyness(pool, each) <= fewest);
-    const weights = least.map(each => weigh(pool, each));
+    const lowestLoad = Math.min(
+      ...candidates.map(each => relativeLoad(pool, each)),
+    );
+    const leastLoaded = candidates.filter(
+      each => relativeLoad(pool, each) <= lowestLoad,
+    );
+    const weights = leastLoaded.map(each => weightOf(pool, each));
     const total = weights.reduce((sum, weight) => sum + weight, 0);
     let draw = random.nextFloat() * total;
-    const drawn = least.find((_, i) => (draw -= weights[i]) < 0);
-    return (drawn ?? least.at(-1))?.upstream;
+    const drawn = leastLoaded.find((_, i) => (draw -= weights[i]) < 0);
+    return (drawn ?? leastLoaded.at(-1))?.upstream;
   }
 
   return {
     pick(service, exclude) {
       const pool = poolOf(service);
-      const open = [...pool.states.values()].filter(
+      const candidates = [...pool.states.values()].filter(
         state => !state.isLeaving && !exclude.has(state.upstream.upstreamId),
       );
       const nowMs = clock.nowMs();
-      const usable = open.filter(state =>
+      const usable = candidates.filter(state =>
         pool.health.isUsable(state.upstream.upstreamId, nowMs),
       );
-      return pickBest(pool, usable.length > 0 ? usable : open);
+      return pickBest(pool, usable.length > 0 ? usable : candidates);
     },
     started(service, upstreamId) {
       const state = poolOf(service).states.get(upstreamId);
@@ -161,10 +165,14 @@
       state.outstanding = Math.max(0, state.outstanding - 1);
       if (result === 'cancelled') return;
       const nowMs = clock.nowMs();
-      state.latencyMs += SMOOTHING * (latencyMs - state.latencyMs);
+      state.latencyMs += LATENCY_SMOOTHING * (latencyMs - state.latencyMs);
       if (result === 'ok') {
         pool.health.success(upstreamId, nowMs);
-        pool.health.sample(upstreamId, latencyMs + SLOWNESS_GRAIN_MS, nowMs);
+        pool.health.sample(
+          upstreamId,
+          latencyMs + SLOWNESS_TOLERANCE_MS,
+          nowMs,
+        );
       } else {
         pool.health.failure(upstreamId, nowMs);
       }
@@ -178,15 +186,15 @@
         pool.health.remove(upstreamId);
       }
       for (const upstream of upstreams) {
-        const known = pool.states.get(upstream.upstreamId);
-        if (known) {
-          known.upstream = upstream;
+        const existing = pool.states.get(upstream.upstreamId);
+        if (existing) {
+          existing.upstream = upstream;
           continue;
         }
         pool.states.set(upstream.upstreamId, {
           upstream,
           outstanding: 0,
-          latencyMs: FIRST_LATENCY_MS,
+          latencyMs: INITIAL_LATENCY_MS,
           isLeaving: false,
         });
         const isWarm = !pool.hadUpstreams;
--- a/src/scheduling/shard_choice.ts
+++ b/src/scheduling/shard_choice.ts
@@ -1,6 +1,6 @@
 /**
- * The entry's side of scheduling: which shard home to ask for a grant, from
- * lagging summaries, and whom to ask next when one refuses or is silent.
+ * Scheduling at the entry: chooses the shard home to request a grant from, by
+ * lagging summaries, and the next one after a refusal or a timeout.
  */
 
 import {
@@ -26,12 +26,12 @@
   readonly log: Logger;
 }
 
-/** A shard as this entry sees it now. */
+/** The current view that this entry has of a shard. */
 export interface ShardView {
   readonly shardId: string;
   readonly failureDomain: string;
   readonly grantPort: GrantPort;
-  /** Undefined when none has come yet. */
+  /** Undefined before the first summary. */
   readonly summary: ShardSummary | undefined;
   /** Age of the summary. */
   readonly ageMs: number;
@@ -39,37 +39,37 @@
 
 export interface ShardChoiceOptions {
   readonly ownFailureDomain: string;
-  /** The shards of the service, as known now. */
+  /** The known shards of a service. */
   readonly shards: (service: string) => readonly ShardView[];
   readonly weights?: Partial<ShardWeights>;
-  /** Asks and waits for one request at most. */
+  /** Limit of grant requests and waits for a home, for each request. */
   readonly maxAsks?: number;
-  /** Busy homes that one request asks at most. */
+  /** Limit of busy homes tried for each request. */
   readonly maxBusy?: number;
-  /** Wait above which shards of other failure domains are looked at. */
+  /** Score above which shards of other failure domains are considered too. */
   readonly spillMs?: number;
 }
 
 export interface ShardChoice extends GrantPort {
-  /** Grants that this entry holds of a shard, to announce to a new home. */
+  /** Grants of a shard that this entry holds, to announce to a new home. */
   heldGrants(shardId: string): readonly AnnouncedGrant[];
 }
 
-const DEFAULT_MAX_ASKS = 6;
+const DEFAULT_MAX_ATTEMPTS = 6;
 const DEFAULT_MAX_BUSY = 2;
-const DEFAULT_SPILL_MS = 30;
+const DEFAULT_OTHER_DOMAIN_SCORE_MS = 30;
 const SUSPECT_MS = 2_000;
 const MAX_PREFIXES = 4_096;
-/** A live home answers within the time to first token; this is the excess. */
-const SILENCE_FACTOR = 1.1;
-const SILENCE_EXTRA_MS = 250;
-/** A home whose summaries stopped coming is given less of that time. */
+/** Timeout of a home, relative to the time to the first token. */
+const HOME_TIMEOUT_FACTOR = 1.1;
+const HOME_TIMEOUT_EXTRA_MS = 250;
+/** A home whose last summary is older than this gets a shorter timeout. */
 const OLD_SUMMARY_MS = 3_000;
-const OLD_SILENCE_FACTOR = 0.25;
+const OLD_SUMMARY_TIMEOUT_FACTOR = 0.25;
 const UNREACHABLE_RETRY_MS = 1_000;
 
-/** Refusals after which another home may still say yes. */
-const asksElsewhere: Readonly<Record<GrantRefusal['reason'], boolean>> = {
+/** Refusals after which another home may grant the request. */
+const mayOtherHomeGrant: Readonly<Record<GrantRefusal['reason'], boolean>> = {
   'not-feasible': true,
   'queue-full': true,
   'no-engine': true,
@@ -79,8 +79,8 @@
   cancelled: false,
 };
 
-/** Refusals that a new home of the same shard would not repeat. */
-const comesBack: Readonly<Record<GrantRefusal['reason'], boolean>> = {
+/** Refusals after which a new home of the same shard may grant the request. */
+const mayNewHomeGrant: Readonly<Record<GrantRefusal['reason'], boolean>> = {
   'home-moved': true,
   unreachable: true,
   'not-feasible': false,
@@ -91,7 +91,7 @@
 };
 
 const HOME_RETRY_MS = 300;
-/** Share of the time to first token spent on waiting for a home. */
+/** Share of the time to the first token that may pass waiting for a home. */
 const HOME_WAIT_SHARE = 0.5;
 
 interface HeldGrant {
@@ -103,9 +103,9 @@
 }
 
 interface ShardRecord {
-  /** Times of own grants, oldest first, as far as summaries may lag. */
+  /** Times of own grants that summaries may not show yet, oldest first. */
   readonly grantTimes: number[];
-  asksInFlight: number;
+  pendingRequests: number;
   suspectUntilMs: number;
 }
 
@@ -115,9 +115,9 @@
 ): ShardChoice {
   const {clock, random, log} = host;
   const weights = {...DEFAULT_SHARD_WEIGHTS, ...options.weights};
-  const maxAsks = options.maxAsks ?? DEFAULT_MAX_ASKS;
+  const maxAsks = options.maxAsks ?? DEFAULT_MAX_ATTEMPTS;
   const maxBusy = options.maxBusy ?? DEFAULT_MAX_BUSY;
-  const spillMs = options.spillMs ?? DEFAULT_SPILL_MS;
+  const otherDomainScoreMs = options.spillMs ?? DEFAULT_OTHER_DOMAIN_SCORE_MS;
   const records = new Map<string, ShardRecord>();
   const held = new Map<string, HeldGrant>();
   const shardByPrefix = new Map<string, string>();
@@ -125,19 +125,19 @@
   function recordOf(shardId: string): ShardRecord {
     let record = records.get(shardId);
     if (!record) {
-      record = {grantTimes: [], asksInFlight: 0, suspectUntilMs: 0};
+      record = {grantTimes: [], pendingRequests: 0, suspectUntilMs: 0};
       records.set(shardId, record);
     }
     return record;
   }
 
-  /** Own asks and grants younger than the summary. */
-  function ownUnseen(record: ShardRecord, ageMs: number): number {
+  /** Own pending requests, and own grants newer than the summary. */
+  function countUnseen(record: ShardRecord, ageMs: number): number {
     const sinceMs = clock.nowMs() - Math.min(ageMs, weights.staleMs);
     while (record.grantTimes.length > 0 && record.grantTimes[0] < sinceMs) {
       record.grantTimes.shift();
     }
-    return record.asksInFlight + record.grantTimes.length;
+    return record.pendingRequests + record.grantTimes.length;
   }
 
   function scoreOf(shard: ShardView, request: GrantRequest): number {
@@ -149,7 +149,7 @@
         totalSlots: summary?.totalSlots ?? 0,
         waitMs: summary?.waitMs ?? weights.unknownWaitMs,
         ageMs: summary ? shard.ageMs : Number.POSITIVE_INFINITY,
-        ownUnseen: ownUnseen(record, shard.ageMs),
+        ownUnseen: countUnseen(record, shard.ageMs),
         isOwnDomain: shard.failureDomain === options.ownFailureDomain,
         hasPrefix: hasPrefix(shard.shardId, request),
         isSuspect: record.suspectUntilMs > clock.nowMs(),
@@ -161,13 +161,13 @@
   function hasPrefix(shardId: string, request: GrantRequest): boolean {
     const {prefixHashes} = request;
     for (let i = prefixHashes.length - 1; i >= 0; i--) {
-      const known = shardByPrefix.get(prefixHashes[i]);
-      if (known !== undefined) return known === shardId;
+      const shardOfPrefix = shardByPrefix.get(prefixHashes[i]);
+      if (shardOfPrefix !== undefined) return shardOfPrefix === shardId;
     }
     return false;
   }
 
-  function notePrefix(shardId: string, request: GrantRequest): void {
+  function recordPrefixes(shardId: string, request: GrantRequest): void {
     for (const hash of request.prefixHashes) {
       shardByPrefix.delete(hash);
       shardByPrefix.set(hash, shardId);
@@ -189,8 +189,8 @@
       const offset = 1 + random.nextInt(shards.length - 1);
       picked.push(shards[(first + offset) % shards.length]);
     }
-    const affine = shards.find(each => hasPrefix(each.shardId, request));
-    if (affine && !picked.includes(affine)) picked.push(affine);
+    const withPrefix = shards.find(each => hasPrefix(each.shardId, request));
+    if (withPrefix && !picked.includes(withPrefix)) picked.push(withPrefix);
     let best = {shard: picked[0], scoreMs: scoreOf(picked[0], request)};
     for (const shard of picked.slice(1)) {
       const scoreMs = scoreOf(shard, request);
@@ -201,61 +201,67 @@
 
   function choose(
     request: GrantRequest,
-    asked: ReadonlySet<string>,
+    triedShardIds: ReadonlySet<string>,
   ): ShardView | undefined {
     const open = options
       .shards(request.service)
-      .filter(shard => !asked.has(shard.shardId));
-    const near = open.filter(
+      .filter(shard => !triedShardIds.has(shard.shardId));
+    const ownDomain = open.filter(
       shard => shard.failureDomain === options.ownFailureDomain,
     );
-    const nearBest = bestOfTwo(near, request);
-    if (nearBest && nearBest.scoreMs <= spillMs) return nearBest.shard;
-    const away = open.filter(
+    const ownDomainBest = bestOfTwo(ownDomain, request);
+    if (ownDomainBest && ownDomainBest.scoreMs <= otherDomainScoreMs)
+      return ownDomainBest.shard;
+    const otherDomains = open.filter(
       shard => shard.failureDomain !== options.ownFailureDomain,
     );
-    const awayBest = bestOfTwo(away, request);
-    if (!awayBest) return nearBest?.shard;
-    if (!nearBest) return awayBest.shard;
-    return awayBest.scoreMs < nearBest.scoreMs
-      ? awayBest.shard
-      : nearBest.shard;
+    const otherDomainsBest = bestOfTwo(otherDomains, request);
+    if (!otherDomainsBest) return ownDomainBest?.shard;
+    if (!ownDomainBest) return otherDomainsBest.shard;
+    return otherDomainsBest.scoreMs < ownDomainBest.scoreMs
+      ? otherDomainsBest.shard
+      : ownDomainBest.shard;
   }
 
-  /** Asks one home, and no longer than a live one may take. */
-  async function askHome(
+  /** Requests a grant from one home, with a timeout. */
+  async function requestFromHome(
     shard: ShardView,
     request: GrantRequest,
     signal: AbortSignal,
   ): Promise<Grant | GrantRefusal> {
     const record = recordOf(shard.shardId);
-    const silence = new AbortController();
-    const onAbort = () => silence.abort();
+    const timeoutAbort = new AbortController();
+    const onAbort = () => timeoutAbort.abort();
     signal.addEventListener('abort', onAbort, {once: true});
-    let isSilent = false;
-    // A live home refuses by itself what it cannot start in time, so one that
-    // says nothing for longer than the first token may take is dead, paused
-    // or cut off. Without this bound its callers would wait in vain.
+    let hasTimedOut = false;
+    // A live home refuses what it can't start in time. So a home that is silent
+    // for longer than the time to the first token is dead, paused or
+    // unreachable.
     const factor =
-      shard.ageMs > OLD_SUMMARY_MS ? OLD_SILENCE_FACTOR : SILENCE_FACTOR;
-    const limitMs = request.ttftLeftMs * factor + SILENCE_EXTRA_MS;
+      shard.ageMs > OLD_SUMMARY_MS
+        ? OLD_SUMMARY_TIMEOUT_FACTOR
+        : HOME_TIMEOUT_FACTOR;
+    const limitMs = request.ttftLeftMs * factor + HOME_TIMEOUT_EXTRA_MS;
     const timer = clock.setTimer(limitMs, () => {
-      isSilent = true;
-      silence.abort();
+      hasTimedOut = true;
+      timeoutAbort.abort();
     });
-    record.asksInFlight++;
+    record.pendingRequests++;
     try {
-      const outcome = await shard.grantPort.request(request, silence.signal);
-      if (outcome.kind === 'granted' || !isSilent) return outcome;
+      const outcome = await shard.grantPort.request(
+        request,
+        timeoutAbort.signal,
+      );
+      if (outcome.kind === 'granted' || !hasTimedOut) return outcome;
       return unreachable();
     } catch (error) {
-      log.warn('Shard home did not answer.', {
+      log.warn('Grant request to a shard home failed.', {
         shardId: shard.shardId,
         error: String(error),
       });
       return signal.aborted ? cancelled() : unreachable();
     } finally {
-      record.asksInFlight--;
+      record.pendingRequests--;
       clock.clearTimer(timer);
       signal.removeEventListener('abort', onAbort);
     }
@@ -273,13 +279,13 @@
     return {kind: 'refused', reason: 'cancelled', retryAfterMs: 0};
   }
 
-  function noteGrant(
+  function recordGrant(
     shard: ShardView,
     grant: Grant,
     request: GrantRequest,
   ): void {
     recordOf(shard.shardId).grantTimes.push(clock.nowMs());
-    notePrefix(shard.shardId, request);
+    recordPrefixes(shard.shardId, request);
     held.set(grant.grantId, {
       shardId: shard.shardId,
       grant,
@@ -289,7 +295,7 @@
     });
   }
 
-  function noteProgress(own: HeldGrant, progress: GrantProgress): void {
+  function recordProgress(own: HeldGrant, progress: GrantProgress): void {
     if (progress.kind === 'decode-started') own.isDecoding = true;
     if (progress.kind === 'renew') {
       own.tokensDelivered = progress.tokensDelivered;
@@ -298,16 +304,16 @@
   }
 
   /**
-   * Waits a little when all that was asked is a home that moved or is gone:
-   * its shard's engines are fine, and a new home is on its way. False when
-   * the request has no time for that.
+   * Waits briefly after a refusal because a home has moved or is unreachable,
+   * since a new home of its shard may soon take over. Returns false without a
+   * wait after any other refusal, or if the request has no time for it.
    */
   async function waitForHome(
     request: GrantRequest,
     startedAtMs: number,
     refusal: GrantRefusal,
   ): Promise<boolean> {
-    if (!comesBack[refusal.reason]) return false;
+    if (!mayNewHomeGrant[refusal.reason]) return false;
     const usedMs = clock.nowMs() - startedAtMs + HOME_RETRY_MS;
     if (usedMs > request.ttftLeftMs * HOME_WAIT_SHARE) return false;
     await new Promise<void>(resolve => {
@@ -316,8 +322,8 @@
     return true;
   }
 
-  /** The request as it stands after `usedMs` spent on earlier asks. */
-  function lessTime(request: GrantRequest, usedMs: number): GrantRequest {
+  /** The request with its times reduced by `usedMs`. */
+  function withLessTime(request: GrantRequest, usedMs: number): GrantRequest {
     return {
       ...request,
       ttftLeftMs: request.ttftLeftMs - usedMs,
@@ -328,47 +334,47 @@
   return {
     async request(request, signal) {
       const startedAtMs = clock.nowMs();
-      const asked = new Set<string>();
+      const triedShardIds = new Set<string>();
       let refusal: GrantRefusal = {
         kind: 'refused',
         reason: 'no-engine',
         retryAfterMs: UNREACHABLE_RETRY_MS,
       };
-      let asks = 0;
+      let attempts = 0;
       let busyCount = 0;
-      while (asks++ < maxAsks) {
+      while (attempts++ < maxAsks) {
         if (signal.aborted) return cancelled();
-        const shard = choose(request, asked);
+        const shard = choose(request, triedShardIds);
         if (!shard) {
           if (!(await waitForHome(request, startedAtMs, refusal))) break;
-          asked.clear();
+          triedShardIds.clear();
           continue;
         }
-        asked.add(shard.shardId);
-        const current = lessTime(request, clock.nowMs() - startedAtMs);
-        if (current.ttftLeftMs <= 0 && asks > 1) break;
-        const outcome = await askHome(shard, current, signal);
+        triedShardIds.add(shard.shardId);
+        const current = withLessTime(request, clock.nowMs() - startedAtMs);
+        if (current.ttftLeftMs <= 0 && attempts > 1) break;
+        const outcome = await requestFromHome(shard, current, signal);
         if (outcome.kind === 'granted') {
-          noteGrant(shard, outcome, request);
+          recordGrant(shard, outcome, request);
           return outcome;
         }
         if (outcome.reason === 'unreachable') {
           recordOf(shard.shardId).suspectUntilMs = clock.nowMs() + SUSPECT_MS;
         }
-        if (asks === 1 || outcome.retryAfterMs < refusal.retryAfterMs) {
+        if (attempts === 1 || outcome.retryAfterMs < refusal.retryAfterMs) {
           refusal = outcome;
         }
-        if (!asksElsewhere[outcome.reason]) return outcome;
-        // Under overload every home refuses; asking them all would multiply
-        // the load on homes just when they have least time.
-        if (!comesBack[outcome.reason] && ++busyCount >= maxBusy) break;
+        if (!mayOtherHomeGrant[outcome.reason]) return outcome;
+        // Under overload every home refuses. Trying all of them would multiply
+        // the load on the homes.
+        if (!mayNewHomeGrant[outcome.reason] && ++busyCount >= maxBusy) break;
       }
       return refusal;
     },
     report(grant, progress) {
       const own = held.get(grant.grantId);
       if (!own) return;
-      noteProgress(own, progress);
+      recordProgress(own, progress);
       const shard = options
         .shards(own.request.service)
         .find(each => each.shardId === own.shardId);
--- a/src/scheduling/shard_home.ts
+++ b/src/scheduling/shard_home.ts
@@ -1,6 +1,6 @@
 /**
- * The home of one shard of engines: the dispatcher behind the grant port that
- * entries call, in their own process or over the wire.
+ * The home of one shard of engines. Exposes the shard's dispatcher as the grant
+ * port that entries call, in the same process or through the peer protocol.
  */
 
 import type {
@@ -28,7 +28,7 @@
 
 export type ShardHomeOptions = DispatcherOptions;
 
-/** The dispatcher, with grants asked for through the port. */
+/** A dispatcher whose grants are requested through the grant port. */
 export interface ShardHome
   extends GrantPort, Omit<Dispatcher, 'ask' | 'report'> {}
 
@@ -79,11 +79,11 @@
       dispatcher.markLeaving(engineId);
     },
     engineGone(engineId) {
-      log.warn('Engine is gone.', {engineId});
+      log.warn('Engine was lost.', {engineId});
       dispatcher.engineGone(engineId);
     },
     entryGone(entryTag) {
-      log.info('Entry is gone; its grants are freed.', {entryTag});
+      log.info('Entry was lost; releasing its grants.', {entryTag});
       dispatcher.entryGone(entryTag);
     },
     adopt: announced => dispatcher.adopt(announced),
--- a/src/scheduling/shard_state.ts
+++ b/src/scheduling/shard_state.ts
@@ -1,4 +1,4 @@
-/** The state that the parts of one shard's dispatcher share. */
+/** State shared by the parts of a shard's dispatcher. */
 
 import {
   createAccountShares,
@@ -41,12 +41,12 @@
 } from './dispatcher_types.js';
 import {createGrantLedger, type GrantLedger} from './grant_ledger.js';
 
-/** A request in the queue, with the home's estimates of it. */
-export interface Waiting {
+/** A queued request with its estimates. */
+export interface QueuedRequest {
   readonly request: GrantRequest;
   readonly account: string;
   readonly reply: GrantReply;
-  /** Later than this the first token, or the whole, would be late. */
+  /** After a later start, the first token or the whole answer would be late. */
   readonly latestStartMs: number;
   readonly orderMs: number;
   readonly prefillMs: number;
@@ -64,10 +64,10 @@
   readonly prefixes: PrefixIndex;
   readonly health: EngineHealth;
   readonly shares: AccountShares;
-  readonly queue: WaitQueue<Waiting>;
+  readonly queue: WaitQueue<QueuedRequest>;
   readonly ledger: GrantLedger;
   readonly lifeMs: number;
-  /** Until then the home admits conservatively. */
+  /** End of the time in which the home admits conservatively. */
   readonly rebuildUntilMs: number;
   targets: LatencyTargets;
   policy: SchedulingPolicy;
@@ -93,7 +93,7 @@
     prefixes: createPrefixIndex(),
     health: createEngineHealth({...DEFAULT_HEALTH, ...options.health}),
     shares,
-    queue: createWaitQueue<Waiting>(),
+    queue: createWaitQueue<QueuedRequest>(),
     ledger: createGrantLedger(),
     lifeMs: options.grantLifeMs ?? DEFAULT_GRANT_LIFE_MS,
     rebuildUntilMs: clock.nowMs() + (options.rebuildMs ?? 0),
@@ -102,7 +102,7 @@
   };
 }
 
-/** The policy in force for a waste weight, which settings may change. */
+/** Creates the scheduling policy for a waste weight. */
 export function createShardPolicy(
   options: DispatcherOptions,
   wasteWeight: number,
@@ -112,7 +112,10 @@
   return createPolicy(wasteWeight, {promiseFromForecast: false, ...changes});
 }
 
-/** A new home cannot tell yet what is feasible; it lets requests wait. */
+/**
+ * Whether the home is rebuilding its state after a takeover. Meanwhile it
+ * can't judge what is feasible, and lets requests wait.
+ */
 export function isRebuilding(state: ShardState): boolean {
   return state.clock.nowMs() < state.rebuildUntilMs;
 }
--- a/tests/scheduling/plain_balancer_test.ts
+++ b/tests/scheduling/plain_balancer_test.ts
@@ -22,7 +22,7 @@
   return {clock, balancer};
 }
 
-test('calls spread over the upstreams by what is outstanding', () => {
+test('calls are spread by the number of outstanding calls', () => {
   const {balancer} = makeBalancer();
   const counts = new Map<string, number>();
   for (let i = 0; i < 40; i++) {
@@ -33,9 +33,9 @@
   assert.deepEqual([...counts.values()], [10, 10, 10, 10]);
 });
 
-test('upstreams that fail are left out, but never more than half of them', () => {
-  // A network fault of our own looks like all upstreams failing. Leaving all
-  // out would turn a passing fault into a full outage.
+test('failing upstreams are ejected, but never more than half of them', () => {
+  // A network fault at this host looks as if all upstreams fail. Ejecting all
+  // of them would turn a short fault into a full outage.
   const {balancer} = makeBalancer();
   for (const upstreamId of ['u0', 'u1', 'u2', 'u3']) {
     for (let i = 0; i < 5; i++) {
@@ -52,7 +52,7 @@
   assert.deepEqual([...picked].sort(), ['u2', 'u3']);
 });
 
-test('a leaving upstream gets no new call', () => {
+test('a leaving upstream gets no new calls', () => {
   const {balancer} = makeBalancer(2);
   balancer.markLeaving(SERVICE, 'u0');
   for (let i = 0; i < 10; i++) {
@@ -61,10 +61,10 @@
   assert.equal(balancer.pick(SERVICE, new Set(['u1'])), undefined);
 });
 
-test('many hosts before few upstreams do not all take the same one', () => {
-  // 68 hosts share three upstreams of six slots. A call takes 43 ms, and one
-  // of the upstreams is a little nearer to all of them. Each host took the
-  // fastest it knew, so that one was full while the two others were idle.
+test('many hosts spread their calls over few upstreams', () => {
+  // 68 hosts share three upstreams of six slots. A call takes 43 ms, and one of
+  // the upstreams is slightly nearer to all hosts. If each host takes the
+  // fastest upstream, that one is full while the other two are idle.
   const clock = createVirtualClock();
   const hosts = Array.from({length: 68}, (_, i) => {
     const balancer = createPlainBalancer(
@@ -100,7 +100,7 @@
   }
 });
 
-test('an upstream that answers slowly gets fewer calls, and some', () => {
+test('a slow upstream gets fewer calls, but not none', () => {
   const {clock, balancer} = makeBalancer(2);
   const counts = new Map<string, number>();
   for (let i = 0; i < 400; i++) {
--- a/tests/scheduling/role_plan_test.ts
+++ b/tests/scheduling/role_plan_test.ts
@@ -21,8 +21,8 @@
   }));
 }
 
-/** Looks each second for `seconds` and carries each change out at once. */
-function watch(
+/** Plans each second for `seconds` and applies each change at once. */
+function simulate(
   start: readonly PlannedEngine[],
   demandAt: (second: number) => RoleDemand,
   seconds: number,
@@ -43,8 +43,8 @@
   return changes;
 }
 
-test('a pool that stays short gets an engine of the other, once', () => {
-  const changes = watch(
+test('a pool that stays short gets one engine of the other pool', () => {
+  const changes = simulate(
     engines(2, 11),
     () => ({prefillEngines: 2.1, decodeEngines: 7}),
     200,
@@ -53,10 +53,10 @@
   assert.equal(changes[0].role, 'prefill');
 });
 
-test('a demand that swings each half minute changes no role', () => {
-  // Mornings of long books and short briefs in turn would otherwise have
-  // engines drain and load weights all day, and serve nobody meanwhile.
-  const changes = watch(
+test('a demand that alternates every 30 s changes no role', () => {
+  // If roles followed an alternation of long prompts and long answers, engines
+  // would drain and load weights all the time and serve no requests meanwhile.
+  const changes = simulate(
     engines(3, 10),
     second =>
       Math.floor(second / 30) % 2 === 0
@@ -67,8 +67,8 @@
   assert.deepEqual(changes, []);
 });
 
-test('no engine is taken from a pool that would then be short', () => {
-  const changes = watch(
+test('no engine is taken from a pool that would then be too small', () => {
+  const changes = simulate(
     engines(2, 11),
     () => ({prefillEngines: 2.1, decodeEngines: 10.2}),
     3_600,
@@ -76,7 +76,7 @@
   assert.deepEqual(changes, []);
 });
 
-test('loads of models keep to the number allowed at once', () => {
+test('model loads stay within the limit of concurrent loads', () => {
   const demand = new Map([
     ['base', 4],
     ['aruanne-v2', 3],
--- a/tests/scheduling/books_test.ts
+++ b/tests/scheduling/scheduling_state_test.ts
@@ -24,9 +24,10 @@
 const KV_BYTES = 10_000;
 const SLOTS = 4;
 
-test('no order of events makes a home promise more than an engine has', () => {
-  // Too much promised shows as imports that engines refuse after the prefill
-  // is paid for. Asks, steps, ends, lapses and dead entries come in any order.
+test('no order of events makes a home reserve more than an engine has', () => {
+  // With too many reservations, engines refuse imports after the prefill was
+  // computed. Requests, progress, ends, expiry and the loss of entries come in
+  // random order.
   const step = fc.record({
     what: fc.constantFrom('ask', 'done', 'start', 'end', 'entry', 'wait'),
     pick: fc.nat(50),
@@ -119,7 +120,7 @@
   fc.assert(property, {seed: SEED, numRuns: 150});
 });
 
-test('work ahead in the queue is what a plain sum says', () => {
+test('the work ahead in the queue equals a plain sum', () => {
   const item = fc.record({
     account: fc.constantFrom('a', 'b'),
     orderMs: fc.integer({min: 0, max: 100_000}),
@@ -161,9 +162,9 @@
   assert.equal(link.earliestStartMs(80, 40), 80);
 });
 
-test('use by others is seen through a report that lags', () => {
-  // A report of a second ago still shows what has just ended. Counting that
-  // as use by others would halve the engine for nothing.
+test('use by others is computed correctly from a lagging load report', () => {
+  // A report that is a second old still includes requests that have just ended.
+  // Counted as use by others, they would needlessly reduce the free slots.
   const book = createEngineBook(SLOTS, KV_BYTES);
   book.reserve('g1', 1_000, 0);
   book.release('g1');
@@ -194,9 +195,9 @@
   assert.equal(book.freeSlots(), SLOTS - 2);
 });
 
-test('a slow engine is left out, tried again, and let in when it is well', () => {
-  // One engine answers five times slower and says nothing. Callers must not
-  // meet it, and it must come back soon after it has recovered.
+test('a slow engine is ejected, retried, and used again after recovery', () => {
+  // An engine becomes five times slower without reporting an error. It must get
+  // no requests until it has recovered, and then soon get them again.
   const health = createEngineHealth(DEFAULT_HEALTH);
   for (const engineId of ['a', 'b', 'c']) health.add(engineId, 'd', 0, true);
   for (let ms = 100; ms <= 500; ms += 100) {
@@ -213,7 +214,7 @@
   assert.equal(health.share('c', 6_000), 1);
 });
 
-test('hints of the prefix index survive lost events and stay bounded', () => {
+test('the prefix index corrects for lost events and stays bounded', () => {
   const index = createPrefixIndex(16);
   const hashes = Array.from({length: 12}, (_, i) => `block-${i}`);
   const sampled = samplePrefixes(hashes);
--- a/tests/scheduling/shard_choice_test.ts
+++ b/tests/scheduling/shard_choice_test.ts
@@ -49,7 +49,7 @@
   };
 }
 
-/** A home that never answers, until its caller gives up. */
+/** A home that doesn't answer before the request is aborted. */
 const silentPort: GrantPort = {
   request: (_request, signal) =>
     new Promise(resolve => {
@@ -108,7 +108,7 @@
 
 const never = () => new AbortController().signal;
 
-test('the own failure domain is preferred until it is full', async () => {
+test('shards of the own failure domain are preferred until they are full', async () => {
   const asks: string[] = [];
   const {choice} = makeChoice([
     view('near', 'bp-angyal', granting('near', asks)),
@@ -124,8 +124,9 @@
   assert.deepEqual(asks, ['near', 'far']);
 });
 
-test('own grants that a summary cannot show yet count against a shard', async () => {
-  // All entries would follow the same old summary to one shard and drown it.
+test('own grants that are newer than the summary count against a shard', async () => {
+  // Otherwise all entries would follow the same old summary and overload one
+  // shard.
   const asks: string[] = [];
   const {choice} = makeChoice([
     view('near', 'bp-angyal', granting('near', asks), 3),
@@ -135,9 +136,9 @@
   assert.ok(asks.includes('far'));
 });
 
-test('a silent home is given up within the time to first token', async () => {
-  // The home's host is cut off while its engines are fine. The caller's
-  // request must go to another home, not wait until its deadline.
+test('a silent home times out near the time to the first token', async () => {
+  // The host of a home is unreachable while its engines are healthy. Requests
+  // must go to another home instead of waiting until their deadline.
   const asks: string[] = [];
   const {clock, choice} = makeChoice([
     view('near', 'bp-angyal', silentPort),
@@ -153,7 +154,7 @@
   assert.deepEqual(asks, ['far']);
 });
 
-test('a refusal by all asked homes carries the soonest time to return', async () => {
+test('a refusal by all homes has the shortest retry time', async () => {
   const {choice} = makeChoice([
     view('near', 'bp-angyal', refusing('not-feasible', 900)),
     view('far', 'bp-csepel', refusing('queue-full', 400)),
@@ -162,13 +163,13 @@
   assert.equal((answer as GrantRefusal).retryAfterMs, 400);
 });
 
-test('a home that moved is waited for, within half the time to first token', async () => {
-  // A router host is replaced. Its shard has no home for a second though all
-  // engines are fine; callers should not be refused for that.
-  let isBack = false;
+test('a request waits for a moved home up to half its time to the first token', async () => {
+  // A router host is replaced. Its shard has no home for a second while all
+  // engines are healthy, and callers should not be refused for that.
+  let isHomeBack = false;
   const moving: GrantPort = {
     async request() {
-      if (isBack) return grantOf('near');
+      if (isHomeBack) return grantOf('near');
       return {kind: 'refused', reason: 'home-moved', retryAfterMs: 250};
     },
     report() {},
@@ -176,10 +177,10 @@
   const {clock, choice} = makeChoice([view('near', 'bp-angyal', moving)]);
   const answer = choice.request({...REQUEST, ttftLeftMs: 4_000}, never());
   await clock.advance(500);
-  isBack = true;
+  isHomeBack = true;
   await clock.advance(400);
   assert.equal((await answer).kind, 'granted');
-  isBack = false;
+  isHomeBack = false;
   const short = choice.request({...REQUEST, ttftLeftMs: 400}, never());
   await clock.advance(1);
   assert.equal((await short).kind, 'refused');
--- a/tests/scheduling/shard_home_test.ts
+++ b/tests/scheduling/shard_home_test.ts
@@ -86,7 +86,7 @@
   };
 }
 
-test('a decode slot is promised once and given on when it is returned', async () => {
+test('a decode slot is granted once, and again after its release', async () => {
   const {clock, home} = makeHome(1);
   const first = await home.request(request(), never());
   assert.equal(first.kind, 'granted');
@@ -106,7 +106,7 @@
   home.report(grant, {kind: 'decode-started'});
 }
 
-test('memory is never promised beyond what the engine has', async () => {
+test('granted memory never exceeds the memory of the engine', async () => {
   const {clock, home} = makeHome(20);
   for (let i = 0; i < 20; i++) {
     void home
@@ -122,9 +122,9 @@
   home.stop();
 });
 
-test('what cannot start in time is refused at once with a time to return', async () => {
-  // A caller would otherwise wait out its whole time for a refusal: the one
-  // slot is taken for long, so the second request cannot start in time.
+test('a request that cannot start in time is refused at once with a retry time', async () => {
+  // The only slot is taken for long, so the second request can't start in time.
+  // Without an early refusal its caller would wait for nothing.
   const {home} = makeHome(1);
   await home.request(request(), never());
   const answer = await home.request(request({ttftLeftMs: 300}), never());
@@ -134,9 +134,9 @@
   home.stop();
 });
 
-test('the grants of an entry that died are freed', async () => {
-  // An entry dies with all slots in its hands. Others must get them soon,
-  // though no end is ever reported.
+test('the grants of an entry that died are released', async () => {
+  // An entry dies while it holds all slots. Others must soon get them, although
+  // the ends of the grants are never reported.
   const {clock, home} = makeHome(1);
   await home.request(request(), never());
   home.entryGone('e1#1');
@@ -147,7 +147,7 @@
   home.stop();
 });
 
-test('a grant of which nothing is heard lapses', async () => {
+test('a grant without reports expires', async () => {
   const {clock, home} = makeHome(1);
   await home.request(request(), never());
   await clock.advance(7_000);
@@ -156,7 +156,7 @@
   home.stop();
 });
 
-test('a cancelled wait leaves no place in the queue', async () => {
+test('a cancelled request is removed from the queue', async () => {
   const {clock, home} = makeHome(1);
   await home.request(request(), never());
   const controller = new AbortController();
@@ -168,9 +168,9 @@
   home.stop();
 });
 
-test('a new home uses engines only after their own report and half of the rest', async () => {
-  // The old home may be paused rather than dead, and still give grants. The
-  // new one must not add more than half of what engines show free.
+test('a new home waits for engine reports and uses half of the free slots', async () => {
+  // The old home may be paused rather than dead, and may still grant slots. The
+  // new one must not grant more than half of the slots that are reported free.
   const {clock, home} = makeHome(20, {rebuildMs: 2_000});
   const answers: (Grant | GrantRefusal)[] = [];
   for (let i = 0; i < 10; i++) {
