--- a/src/entry/caller_auth.ts
+++ b/src/entry/caller_auth.ts
@@ -1,4 +1,4 @@
-/** From a caller's key to its client account. Keys are kept as hashes only. */
+/** Finds the client account of a caller by its key. Only key hashes are kept. */
 
 import {readKeyDigest} from '../core/caller_key.js';
 import type {AccountSettings, Settings} from '../core/settings_types.js';
@@ -9,16 +9,16 @@
 }
 
 export function createCallerAuth(settings: Settings): CallerAuth {
-  const byHash = new Map<string, AccountSettings>();
+  const accountsByKeyHash = new Map<string, AccountSettings>();
   for (const account of settings.accounts) {
     for (const hash of account.keySha256) {
-      byHash.set(hash.toLowerCase(), account);
+      accountsByKeyHash.set(hash.toLowerCase(), account);
     }
   }
   return {
     findAccount(authorization) {
       const digest = readKeyDigest(authorization);
-      return digest === undefined ? undefined : byHash.get(digest);
+      return digest === undefined ? undefined : accountsByKeyHash.get(digest);
     },
   };
 }
--- a/src/entry/caller_headers.ts
+++ b/src/entry/caller_headers.ts
@@ -1,4 +1,4 @@
-/** Headers that callers may set, read and checked. */
+/** Reads and validates the request headers that callers may set. */
 
 import type {IncomingHttpHeaders} from 'node:http';
 
@@ -13,7 +13,7 @@
   | {readonly kind: 'read'; readonly value: T | undefined}
   | {readonly kind: 'malformed'; readonly detail: string};
 
-/** The caller's own bound on its wait, in milliseconds. */
+/** Reads how long the caller waits at most, in milliseconds. */
 export function readWaitMs(
   headers: IncomingHttpHeaders,
 ): HeaderOutcome<number> {
@@ -26,7 +26,7 @@
   return {kind: 'read', value: Number(text)};
 }
 
-/** The caller's idempotency key. */
+/** Reads the caller's idempotency key. */
 export function readIdempotencyKey(
   headers: IncomingHttpHeaders,
 ): HeaderOutcome<string> {
--- a/src/entry/event_stream.ts
+++ b/src/entry/event_stream.ts
@@ -1,22 +1,23 @@
 /**
- * Writes server-sent events to one caller, each as one chunk and one write.
+ * Writes server-sent events to a caller, each as one HTTP chunk in one write.
  *
- * `response.write` hands a chunk's size, text and end to the kernel as a list
- * of three, and that call is most of what relaying a token costs. Here a chunk
- * is one string, written to the response's socket. The order holds since the
- * head is flushed first and `end` goes through the response as usual.
+ * `response.write` passes the size, text and end of a chunk to the kernel as
+ * three buffers, and this call is most of the cost of relaying a token. Here a
+ * chunk is one string, written directly to the socket of the response. The
+ * order is kept, since the response head is flushed first and `end` uses the
+ * response as usual.
  */
 
 import type {ServerResponse} from 'node:http';
 
 export interface EventStream {
-  /** Sends `text` between the frame's ends; `text` is JSON. */
+  /** Sends an event; `text` is JSON and put between the frame's ends. */
   write(text: string): void;
-  /** Sends what comes last and ends the response. */
+  /** Sends `last` and ends the response. */
   end(last: string): void;
 }
 
-/** What stands before and after the text of each event; plain ASCII. */
+/** The ASCII text before and after the text of each event. */
 export interface EventFrame {
   readonly prefix: string;
   readonly suffix: string;
@@ -24,7 +25,7 @@
 
 const HEX = 16;
 
-/** Sends the head of the response at once. */
+/** Creates the stream and sends the response head at once. */
 export function createEventStream(
   response: ServerResponse,
   frame: EventFrame,
@@ -37,7 +38,7 @@
     'transfer-encoding': 'chunked',
   });
   response.flushHeaders();
-  // Null while an earlier answer on a pipelined connection is under way.
+  // Null on a pipelined connection until the earlier responses have ended.
   const {socket} = response;
 
   return {
@@ -50,7 +51,7 @@
       const textBytes = Buffer.byteLength(text);
       const size = (frameBytes + textBytes).toString(HEX);
       const chunk = `${size}\r\n${frame.prefix}${text}${suffix}`;
-      // Text of one byte a character needs no look at each of them.
+      // ASCII text is faster to write as latin1, without UTF-8 encoding.
       socket.write(chunk, textBytes === text.length ? 'latin1' : 'utf8');
     },
     end: last => void response.end(last),
--- a/src/entry/front_host.ts
+++ b/src/entry/front_host.ts
@@ -1,4 +1,4 @@
-/** What the HTTP front needs of the process it runs in. */
+/** The host of the HTTP front, and types that its routes share. */
 
 import type {Metrics} from '../adapters/metrics.js';
 import type {AccountLimits} from '../core/account_limits.js';
@@ -9,18 +9,19 @@
 import type {Random} from '../ports/random.js';
 import type {CallerAuth} from './caller_auth.js';
 
-/** One address that callers may use, best first. */
+/** The address of an entry that callers may use. */
 export interface EntryAddress {
   readonly address: string;
 }
 
 export interface EntriesAnswer {
+  /** In order of preference, best first. */
   readonly entries: readonly EntryAddress[];
-  /** Callers should ask again after this time. */
+  /** Callers should fetch the list again after this time. */
   readonly ttlMs: number;
 }
 
-/** Settings in force, with what is derived from them once. */
+/** The settings in force and the authentication derived from them. */
 export interface FrontSettings {
   readonly settings: Settings;
   readonly auth: CallerAuth;
@@ -33,12 +34,12 @@
   readonly runner: RequestRunner;
   readonly limits: AccountLimits;
   readonly metrics: Metrics;
-  /** Undefined until a configuration has been read. */
+  /** Undefined before the first configuration is read. */
   getSettings(): FrontSettings | undefined;
   getEntries(): EntriesAnswer;
-  /** Whether an `Authorization` header shows the operators' key. */
+  /** Whether an `Authorization` header holds the operator key. */
   isOperator(authorization: string | undefined): boolean;
-  /** True once this entry drains. */
+  /** Whether this entry is draining. */
   isLeaving(): boolean;
 }
 
--- a/src/entry/http_front.ts
+++ b/src/entry/http_front.ts
@@ -1,6 +1,6 @@
 /**
- * The HTTP front towards callers: reads, checks and admits a request, hands it
- * to the request runner, and lets the runner know when the caller hangs up.
+ * The HTTP server for callers. Reads, validates and admits requests, passes
+ * them to the request runner, and reports disconnected callers to it.
  */
 
 import {
@@ -26,15 +26,15 @@
 const HEADERS_TIMEOUT_MS = 10_000;
 const KEEP_ALIVE_MS = 30_000;
 const DEFAULT_MAX_HEADER_BYTES = 16_384;
-const REFRESH_HEADER = 'x-corianderbend-entries';
-const HEADER_OVERFLOW = 'HPE_HEADER_OVERFLOW';
+const ENTRIES_HEADER = 'x-corianderbend-entries';
+const HEADER_OVERFLOW_CODE = 'HPE_HEADER_OVERFLOW';
 
 export interface HttpFront {
   readonly server: Server;
   listen(address: string): Promise<void>;
-  /** Stops accepting; resolves once every connection is closed. */
+  /** Stops accepting connections; resolves when all are closed. */
   close(): Promise<void>;
-  /** Requests whose response has not ended. */
+  /** Number of requests whose response has not ended. */
   openCount(): number;
 }
 
@@ -71,7 +71,7 @@
     response.end(JSON.stringify(body));
   }
 
-  /** Runs `route`, and ties the caller's connection to what it started. */
+  /** Runs `route` and reports a disconnect of the caller to its request. */
   function startRoute(
     exchange: Exchange,
     account: AccountSettings,
@@ -84,8 +84,8 @@
       return;
     }
     const {running} = outcome;
-    // The caller may have hung up while its body was being checked; `close`
-    // has then been sent already and would never come.
+    // The caller may have disconnected while its body was validated. `close`
+    // was then emitted already and isn't emitted again.
     if (response.destroyed && !response.writableFinished) running.callerGone();
     response.once('close', () => {
       if (!response.writableFinished) running.callerGone();
@@ -101,7 +101,7 @@
     const {settings} = front;
     const admission = host.limits.admit(account);
     if (admission.kind === 'refused') {
-      const detail = `Limit of account "${account.name}".`;
+      const detail = `Account "${account.name}" has reached its limit.`;
       const {retryAfterMs} = admission;
       refuse(
         exchange,
@@ -110,8 +110,8 @@
       );
       return;
     }
-    // On every way out of here the response closes, also when a handler
-    // throws, so the place cannot be kept by a request that is gone.
+    // The response closes in all cases, also if a handler throws, so the
+    // admission is always released.
     exchange.response.once('close', () => host.limits.release(account.name));
     const outcome = await readBody(
       host.clock,
@@ -128,12 +128,12 @@
     }
   }
 
-  /** Checks that a request may be served at all, then who sends it. */
+  /** Authenticates the caller and checks the limits of the entry. */
   function withCaller(route: CallerRoute): Handler {
     return async exchange => {
       const front = host.getSettings();
       if (!front) {
-        const detail = 'This entry has just started.';
+        const detail = 'This entry has not read a configuration yet.';
         refuse(exchange, {
           kind: 'configuration-missing',
           detail,
@@ -174,7 +174,7 @@
     writeJson(response, isReady ? 200 : 503, {ready: isReady});
   }
 
-  /** The labels name client accounts, which are not for every caller. */
+  /** Only for operators, since labels hold the names of client accounts. */
   async function handleMetrics(exchange: Exchange): Promise<void> {
     const {request, response} = exchange;
     if (!host.isOperator(request.headers.authorization)) {
@@ -233,12 +233,12 @@
     openCount++;
     response.once('close', () => openCount--);
     response.setHeader('x-request-id', requestId);
-    // Callers keep their list of entries for a while; this asks them to
-    // fetch a new one before this entry stops.
-    if (host.isLeaving()) response.setHeader(REFRESH_HEADER, 'refresh');
+    // Callers cache their list of entries; this header asks them to fetch a new
+    // list before this entry stops.
+    if (host.isLeaving()) response.setHeader(ENTRIES_HEADER, 'refresh');
     const exchange = {requestId, request, response, arrivedAtMs};
     dispatch(exchange).catch((error: unknown) => {
-      host.log.error('A request handler failed.', {
+      host.log.error('Request handler failed.', {
         requestId,
         reason:
           error instanceof Error
@@ -256,14 +256,14 @@
     });
   }
 
-  /** Answers what Node's parser refuses before there is a request. */
+  /** Responds to requests that the HTTP parser of Node.js rejects. */
   function onClientError(error: NodeJS.ErrnoException, socket: Duplex): void {
     if (!socket.writable) return;
     const status =
-      error.code === HEADER_OVERFLOW
+      error.code === HEADER_OVERFLOW_CODE
         ? '431 Request Header Fields Too Large'
         : '400 Bad Request';
-    const code = error.code === HEADER_OVERFLOW ? 'CB1008' : 'CB1001';
+    const code = error.code === HEADER_OVERFLOW_CODE ? 'CB1008' : 'CB1001';
     const body = JSON.stringify({code, runState: 'not-run', title: status});
     socket.end(
       `HTTP/1.1 ${status}\r\nconnection: close\r\n` +
--- a/src/entry/metered_sink.ts
+++ b/src/entry/metered_sink.ts
@@ -1,4 +1,4 @@
-/** Records how an answer came, on its way to the caller. */
+/** Answer sinks that record metrics of the answers they pass to the caller. */
 
 import type {Metrics, RequestLabels} from '../adapters/metrics.js';
 import type {
@@ -38,18 +38,19 @@
   host: MeterHost,
   {labels, arrivedAtMs}: Metering,
   error: RequestError,
-  hasBegun: boolean,
+  hasStarted: boolean,
 ): void {
   const durationMs = host.clock.nowMs() - arrivedAtMs;
-  const result = hasBegun ? 'cut' : 'refused';
+  const result = hasStarted ? 'cut' : 'refused';
   host.metrics.recordRefusal(labels, error.kind);
   host.metrics.recordTotalWait(labels, result, durationMs);
 }
 
 /**
- * Counts an answer as goodput if its first token, its pace and its whole wait
- * were within the targets. The pace is the mean over the answer, since the
- * network may bring tokens in bunches.
+ * Records the metrics of a model answer. It counts as goodput if its time to
+ * the first token, its mean token interval and its total wait are within the
+ * targets. The interval is a mean, since the network may deliver tokens in
+ * batches.
  */
 export function meterModelSink(
   host: MeterHost,
@@ -58,16 +59,17 @@
 ): ModelAnswerSink {
   const {clock, metrics} = host;
   const {labels, targets, arrivedAtMs} = metering;
-  let firstAtMs: number | undefined;
-  let lastAtMs = 0;
+  let firstTokenAtMs: number | undefined;
+  let lastTokenAtMs = 0;
   let tokenCount = 0;
 
   function isWithinTargets(nowMs: number): boolean {
-    if (firstAtMs === undefined) return false;
-    const meanMs = (lastAtMs - firstAtMs) / Math.max(1, tokenCount - 1);
+    if (firstTokenAtMs === undefined) return false;
+    const meanIntervalMs =
+      (lastTokenAtMs - firstTokenAtMs) / Math.max(1, tokenCount - 1);
     return (
-      firstAtMs - arrivedAtMs <= targets.ttftMs &&
-      meanMs <= targets.tokenIntervalMs &&
+      firstTokenAtMs - arrivedAtMs <= targets.ttftMs &&
+      meanIntervalMs <= targets.tokenIntervalMs &&
       nowMs - arrivedAtMs <= targets.waitMs
     );
   }
@@ -75,13 +77,16 @@
   return {
     tokens(offset, texts) {
       const nowMs = clock.nowMs();
-      if (firstAtMs === undefined) {
-        firstAtMs = nowMs;
+      if (firstTokenAtMs === undefined) {
+        firstTokenAtMs = nowMs;
         metrics.recordFirstToken(labels, nowMs - arrivedAtMs);
       } else {
-        metrics.recordTokenInterval(labels, (nowMs - lastAtMs) / texts.length);
+        metrics.recordTokenInterval(
+          labels,
+          (nowMs - lastTokenAtMs) / texts.length,
+        );
       }
-      lastAtMs = nowMs;
+      lastTokenAtMs = nowMs;
       tokenCount += texts.length;
       sink.tokens(offset, texts);
     },
@@ -92,13 +97,13 @@
       sink.end(finishReason, count);
     },
     fail(error) {
-      recordFailure(host, metering, error, firstAtMs !== undefined);
+      recordFailure(host, metering, error, firstTokenAtMs !== undefined);
       sink.fail(error);
     },
   };
 }
 
-/** As above, for a plain call: goodput is an answer within the wait. */
+/** Records the metrics of a plain call; goodput is an answer within the wait. */
 export function meterPlainSink(
   host: MeterHost,
   metering: Metering,
--- a/src/entry/model_route.ts
+++ b/src/entry/model_route.ts
@@ -1,4 +1,4 @@
-/** `POST /v1/chat/completions` and `POST /v1/completions`. */
+/** The routes `POST /v1/chat/completions` and `POST /v1/completions`. */
 
 import {createHash} from 'node:crypto';
 import type {IncomingMessage, ServerResponse} from 'node:http';
@@ -16,7 +16,7 @@
   type CompletionBody,
 } from './openai_request.js';
 
-/** What a route gives back: a running request, or why there is none. */
+/** Result of a route: a running request, or the error of a refusal. */
 export type RouteOutcome =
   | {readonly kind: 'running'; readonly running: RunningRequest}
   | {readonly kind: 'refused'; readonly error: RequestError};
@@ -42,7 +42,7 @@
   return undefined;
 }
 
-/** Requests with equal fingerprints ask for the same answer. */
+/** Hashes what determines the answer, to compare repeats of a request. */
 function createFingerprint(account: string, body: CompletionBody): string {
   return createHash('sha256')
     .update(
@@ -55,7 +55,7 @@
   return {kind: 'refused', error: {kind, detail}};
 }
 
-/** Parses, checks and starts a model request. */
+/** Parses, validates and starts a model request. */
 export function startModelRoute(
   host: FrontHost,
   api: CompletionApi,
@@ -78,7 +78,7 @@
     return refused('unknown-service', `No service runs model "${body.model}".`);
   }
   if (!caller.account.services.includes(service.name)) {
-    const detail = `Account "${caller.account.name}" has no right to it.`;
+    const detail = `Account "${caller.account.name}" may not use this service.`;
     return refused('forbidden', detail);
   }
   const promptTokens = tokenizePrompt(body.promptText);
--- a/src/entry/openai_answer.ts
+++ b/src/entry/openai_answer.ts
@@ -1,8 +1,9 @@
 /**
- * Answers of the OpenAI-compatible routes, as server-sent events or whole.
+ * Answers of the OpenAI-compatible routes, as a stream of server-sent events
+ * or as one document.
  *
- * A stream that ended whole closes with `data: [DONE]`. A cut stream closes
- * with an `error` event instead and never has `[DONE]`.
+ * A complete stream ends with `data: [DONE]`. An interrupted stream ends with
+ * an `error` event and has no `[DONE]`.
  */
 
 import type {ServerResponse} from 'node:http';
@@ -28,7 +29,7 @@
   readonly wholeObject: string;
 }
 
-const names: Readonly<Record<CompletionApi, ApiNames>> = {
+const namesByApi: Readonly<Record<CompletionApi, ApiNames>> = {
   chat: {
     idPrefix: 'chatcmpl-',
     chunkObject: 'chat.completion.chunk',
@@ -41,7 +42,7 @@
   },
 };
 
-/** The text of one chunk is put between these, already escaped. */
+/** The JSON before and after the escaped text of a chunk. */
 const choiceFrames: Readonly<Record<CompletionApi, readonly [string, string]>> =
   {
     chat: [
@@ -64,7 +65,7 @@
 };
 
 function createHead(context: AnswerContext): string {
-  const {idPrefix, chunkObject} = names[context.api];
+  const {idPrefix, chunkObject} = namesByApi[context.api];
   const head = JSON.stringify({
     id: idPrefix + context.requestId,
     object: chunkObject,
@@ -75,8 +76,8 @@
 }
 
 /**
- * Streams the answer. The response begins with the first token, so that a
- * refusal before it still has its own status.
+ * Streams the answer. The response begins with the first token, so an earlier
+ * refusal still gets its own status code.
  */
 export function createStreamSink(
   response: ServerResponse,
@@ -86,7 +87,7 @@
   const [frameStart, suffix] = choiceFrames[context.api];
   let stream: EventStream | undefined;
 
-  function begin(): EventStream {
+  function openStream(): EventStream {
     stream ??= createEventStream(response, {
       prefix: head + frameStart,
       suffix,
@@ -97,11 +98,11 @@
   return {
     tokens(_offset, texts) {
       const text = texts.length === 1 ? texts[0] : texts.join('');
-      begin().write(JSON.stringify(text));
+      openStream().write(JSON.stringify(text));
     },
     end(finishReason) {
       const last = head + finalChoices[context.api](finishReason);
-      begin().end(`${last}data: [DONE]\n\n`);
+      openStream().end(`${last}data: [DONE]\n\n`);
     },
     fail(error: RequestError) {
       if (!stream) {
@@ -117,7 +118,7 @@
   };
 }
 
-/** Answers with one JSON document once the answer is whole. */
+/** Sends one JSON document when the answer is complete. */
 export function createWholeSink(
   response: ServerResponse,
   context: AnswerContext,
@@ -138,7 +139,7 @@
       parts.push(...texts);
     },
     end(finishReason, tokenCount) {
-      const {idPrefix, wholeObject} = names[context.api];
+      const {idPrefix, wholeObject} = namesByApi[context.api];
       const document = {
         id: idPrefix + context.requestId,
         object: wholeObject,
--- a/src/entry/openai_request.ts
+++ b/src/entry/openai_request.ts
@@ -1,6 +1,6 @@
 /**
- * Bodies of the OpenAI-compatible routes: `/v1/chat/completions` and
- * `/v1/completions`. Fields that the router doesn't use are let through.
+ * Parses request bodies of the OpenAI-compatible routes `/v1/chat/completions`
+ * and `/v1/completions`. Fields that the router doesn't use are accepted.
  */
 
 import {z} from 'zod';
@@ -17,7 +17,7 @@
   content: z.union([z.string(), z.array(textPart), z.null()]),
 });
 
-const shared = {
+const sharedFields = {
   model: z.string().min(1),
   stream: z.boolean().nullish(),
   max_tokens: maxTokens.nullish(),
@@ -25,16 +25,19 @@
   n: z.literal(1).nullish(),
 };
 
-const chatBody = z.looseObject({...shared, messages: z.array(message).min(1)});
+const chatBody = z.looseObject({
+  ...sharedFields,
+  messages: z.array(message).min(1),
+});
 
 const completionBody = z.looseObject({
-  ...shared,
+  ...sharedFields,
   prompt: z.union([z.string(), z.array(z.string()).length(1)]),
 });
 
 export type CompletionApi = 'chat' | 'completion';
 
-/** What the router needs of a body. */
+/** The fields of a body that the router uses. */
 export interface CompletionBody {
   readonly model: string;
   readonly promptText: string;
@@ -44,7 +47,7 @@
 
 export type CompletionBodyOutcome =
   | {readonly kind: 'parsed'; readonly body: CompletionBody}
-  /** `detail` names the place in the body. */
+  /** `detail` names the path of the invalid field. */
   | {readonly kind: 'malformed'; readonly detail: string};
 
 type ChatBody = z.infer<typeof chatBody>;
@@ -72,7 +75,7 @@
     .join('; ');
 }
 
-function finish(body: ChatBody | PromptBody, promptText: string) {
+function createOutcome(body: ChatBody | PromptBody, promptText: string) {
   const parsed: CompletionBody = {
     model: body.model,
     promptText,
@@ -89,18 +92,18 @@
   chat(json) {
     const result = chatBody.safeParse(json);
     return result.success
-      ? finish(result.data, chatPrompt(result.data))
+      ? createOutcome(result.data, chatPrompt(result.data))
       : {kind: 'malformed', detail: describeIssues(result.error)};
   },
   completion(json) {
     const result = completionBody.safeParse(json);
     return result.success
-      ? finish(result.data, completionPrompt(result.data))
+      ? createOutcome(result.data, completionPrompt(result.data))
       : {kind: 'malformed', detail: describeIssues(result.error)};
   },
 };
 
-/** Parses a body of either route. */
+/** Parses the body of a request to either route. */
 export function parseCompletionBody(
   api: CompletionApi,
   body: Uint8Array,
--- a/src/entry/plain_route.ts
+++ b/src/entry/plain_route.ts
@@ -1,4 +1,4 @@
-/** `/services/{name}/…`: any method, path and body to a plain service. */
+/** The route `/services/{name}/…`, which calls a plain service. */
 
 import {createHash} from 'node:crypto';
 import type {IncomingHttpHeaders, ServerResponse} from 'node:http';
@@ -16,14 +16,14 @@
 
 const PLAIN_PATH = /^\/services\/([^/?]+)(\/[^]*|\?[^]*)?$/;
 
-/** Headers that belong to one connection, or hold the caller's secret. */
+/** Hop-by-hop headers, and headers with the caller's credentials. */
 const NOT_FORWARDED: ReadonlySet<string> = new Set([
   ...hopHeaders,
   'authorization',
   'proxy-connection',
 ]);
 
-/** Copies headers that may cross the router. */
+/** Copies the headers that may be forwarded. */
 export function copyForwardedHeaders(
   headers: IncomingHttpHeaders,
 ): Readonly<Record<string, string>> {
@@ -41,7 +41,7 @@
   return path.startsWith(pattern.path.slice(0, -1));
 }
 
-/** Whether the service's settings let the call be sent more than once. */
+/** Whether the service's settings allow the call to be repeated. */
 export function isRepeatable(
   service: PlainServiceSettings,
   method: string,
@@ -74,7 +74,7 @@
   return {kind: 'refused', error: {kind, detail}};
 }
 
-/** Splits the path into the service's name and the rest. */
+/** Splits a URL path into the name of the service and the rest. */
 export function parsePlainPath(
   url: string,
 ): {readonly service: string; readonly path: string} | undefined {
@@ -85,7 +85,7 @@
   return {service: match[1], path};
 }
 
-/** Checks and starts a call to a plain service. */
+/** Validates and starts a call to a plain service. */
 export function startPlainRoute(
   host: FrontHost,
   call: RouteCall,
@@ -100,7 +100,7 @@
     return refused('unknown-service', `No plain service "${target.service}".`);
   }
   if (!caller.account.services.includes(service.name)) {
-    const detail = `Account "${caller.account.name}" has no right to it.`;
+    const detail = `Account "${caller.account.name}" may not use this service.`;
     return refused('forbidden', detail);
   }
   const wait = readWaitMs(request.headers);
--- a/src/entry/problem.ts
+++ b/src/entry/problem.ts
@@ -1,6 +1,6 @@
 /**
- * Refusals and failures as problem documents (RFC 9457). Every one says by
- * number what happened and whether the request was run.
+ * Problem documents (RFC 9457) for refusals and failures. Each has an error
+ * code and states whether the request was run.
  */
 
 import type {ServerResponse} from 'node:http';
@@ -20,7 +20,7 @@
   readonly retryAfterMs?: number;
 }
 
-/** The document for `error`. */
+/** Creates the problem document for an error. */
 export function createProblem(
   error: RequestError,
   requestId: string,
@@ -40,7 +40,7 @@
   };
 }
 
-/** Answers with the problem document; the response must not have begun. */
+/** Responds with a problem document; the response must not have begun. */
 export function writeProblem(
   response: ServerResponse,
   error: RequestError,
--- a/src/entry/read_body.ts
+++ b/src/entry/read_body.ts
@@ -1,4 +1,4 @@
-/** Reads a request's body within a bound of bytes and of time. */
+/** Reads a request body with limits on its size and on the time. */
 
 import type {IncomingMessage} from 'node:http';
 import type {RequestError} from '../core/error_kinds.js';
@@ -12,7 +12,7 @@
 export type BodyOutcome =
   | {readonly kind: 'read'; readonly body: Buffer}
   | {readonly kind: 'failed'; readonly error: RequestError}
-  /** The caller hung up; there is nobody to answer. */
+  /** The caller disconnected, so there is nobody to answer. */
   | {readonly kind: 'gone'};
 
 export function readBody(
@@ -24,7 +24,7 @@
     const chunks: Buffer[] = [];
     let sizeBytes = 0;
     const timer = clock.setTimer(limits.bodyTimeoutMs, () => {
-      const detail = `No whole body within ${limits.bodyTimeoutMs} ms.`;
+      const detail = `The body was not complete within ${limits.bodyTimeoutMs} ms.`;
       finish({kind: 'failed', error: {kind: 'body-timeout', detail}});
     });
 
@@ -39,7 +39,7 @@
     request.on('data', (chunk: Buffer) => {
       sizeBytes += chunk.length;
       if (sizeBytes > limits.maxBodyBytes) {
-        const detail = `The limit is ${limits.maxBodyBytes} bytes.`;
+        const detail = `The body exceeds ${limits.maxBodyBytes} bytes.`;
         finish({kind: 'failed', error: {kind: 'body-too-large', detail}});
         return;
       }
--- a/tests/entry/openai_client_test.ts
+++ b/tests/entry/openai_client_test.ts
@@ -126,7 +126,7 @@
   messages: [{role: 'user' as const, content: 'Draft the report.'}],
 };
 
-test('a stock client streams an answer', async () => {
+test('the OpenAI client can stream an answer', async () => {
   const caller = createCaller(await startFront(answerWhole));
   const stream = await caller.chat.completions.create({
     ...question,
@@ -142,21 +142,21 @@
   assert.equal(finishReason, 'stop');
 });
 
-test('a stock client gets a whole answer and its usage', async () => {
+test('the OpenAI client gets a whole answer with its usage', async () => {
   const caller = createCaller(await startFront(answerWhole));
   const answer = await caller.chat.completions.create(question);
   assert.equal(answer.choices[0].message.content, WORDS.join(''));
   assert.equal(answer.usage?.completion_tokens, WORDS.length);
 });
 
-test('a cut stream is an error to a stock client, never a short answer', async () => {
-  // A bookkeeper would see a draft that just stops, and file it as whole.
-  // The engine dies after two tokens and the stream cannot be resumed; the
-  // stream must then close with an error event and without its end mark.
+test('an interrupted stream is an error for the OpenAI client', async () => {
+  // An engine dies after two tokens, and the stream can't be resumed. It must
+  // end with an error event and without `[DONE]`, so that the caller doesn't
+  // take the partial answer for a whole one.
   const caller = createCaller(
     await startFront((_request, sink) => {
       sink.tokens(0, WORDS.slice(0, 2));
-      sink.fail({kind: 'answer-cut', detail: 'The engine is gone.'});
+      sink.fail({kind: 'answer-cut', detail: 'The engine was lost.'});
     }),
   );
   const stream = await caller.chat.completions.create({
@@ -168,7 +168,7 @@
   });
 });
 
-test('metrics are for operators, since their labels name client accounts', async () => {
+test('only operators can read metrics, whose labels name client accounts', async () => {
   const origin = await startFront(answerWhole);
   const read = (key: string) =>
     fetch(`${origin}/metrics`, {headers: {authorization: `Bearer ${key}`}});
@@ -178,7 +178,7 @@
   assert.match(await answer.text(), /corianderbend_refusals_total/);
 });
 
-test('refusals are problem documents that say whether the request was run', async () => {
+test('refusals are problem documents with an error code and run state', async () => {
   const origin = await startFront((_request, sink) =>
     sink.fail({kind: 'overloaded', detail: 'Full.', retryAfterMs: 1500}),
   );
