--- a/src/ports/answer_sink.ts
+++ b/src/ports/answer_sink.ts
@@ -1,13 +1,14 @@
 /**
- * Where the answer to one caller goes. The HTTP front makes it; the task that
- * runs the request writes to it. Exactly one of `end` and `fail` is called.
+ * Requests of callers and the sinks of their answers. The HTTP front creates a
+ * sink, and the task of the request writes to it. Exactly one of `end` and
+ * `fail` is called.
  */
 
 import type {RequestError} from '../core/error_kinds.js';
 import type {RequestClass} from './grants.js';
 import type {StoredAnswer} from './journal.js';
 
-/** A model request, parsed and admitted. */
+/** A parsed and admitted model request. */
 export interface ModelRequest {
   readonly requestId: string;
   readonly service: string;
@@ -16,16 +17,16 @@
   readonly model: string;
   readonly promptTokens: readonly number[];
   readonly maxTokens: number;
-  /** Given by the caller; a repeat adopts or replays the running answer. */
+  /** Set by the caller; a repeat follows or replays the existing answer. */
   readonly idempotencyKey?: string;
   /** Hash of the account, the model, the prompt and the settings. */
   readonly fingerprint: string;
-  /** On the process's clock. */
+  /** On the monotonic clock of this process. */
   readonly arrivedAtMs: number;
   readonly deadlineAtMs: number;
 }
 
-/** Receives the tokens of one answer, each once, in order. */
+/** Receives each token of an answer once and in order. */
 export interface ModelAnswerSink {
   /** `offset` counts tokens of the answer from 0. */
   tokens(offset: number, texts: readonly string[]): void;
@@ -33,7 +34,7 @@
   fail(error: RequestError): void;
 }
 
-/** A call to a plain service, parsed and admitted. */
+/** A parsed and admitted call to a plain service. */
 export interface PlainRequest {
   readonly requestId: string;
   readonly service: string;
@@ -50,22 +51,22 @@
   readonly deadlineAtMs: number;
 }
 
-/** Receives the whole answer of a plain call. */
+/** Receives the answer of a plain call. */
 export interface PlainAnswerSink {
   end(answer: StoredAnswer): void;
   fail(error: RequestError): void;
 }
 
-/** One running request, as its caller's connection sees it. */
+/** Handle of a running request for the caller's connection. */
 export interface RunningRequest {
-  /** The caller hung up. */
+  /** Called when the caller has disconnected. */
   callerGone(): void;
 }
 
-/** Runs requests; one implementation per process. */
+/** Runs the requests of this process. */
 export interface RequestRunner {
   runModel(request: ModelRequest, sink: ModelAnswerSink): RunningRequest;
   runPlain(request: PlainRequest, sink: PlainAnswerSink): RunningRequest;
-  /** Requests that have not ended. */
+  /** Number of requests that have not ended. */
   activeCount(): number;
 }
--- a/src/ports/clock.ts
+++ b/src/ports/clock.ts
@@ -1,22 +1,22 @@
 /**
- * The one clock of the project. All times are milliseconds.
+ * The clock interface of the project. All times are in milliseconds.
  *
- * Decisions take a `Clock` so that tests and `scenario run` can drive them in
+ * Code takes time from a `Clock`, so that tests and `scenario run` can use
  * virtual time.
  */
 
-/** What `setTimer` hands back; give it to `clearTimer`. */
+/** Handle that `setTimer` returns, for `clearTimer`. */
 export interface TimerHandle {
   readonly kind: 'timer';
 }
 
 /** Source of time and of timers. */
 export interface Clock {
-  /** Milliseconds since an arbitrary fixed point; never goes backwards. */
+  /** Monotonic time since an arbitrary fixed point. */
   nowMs(): number;
-  /** Milliseconds since the Unix epoch; may be stepped by the host. */
+  /** Time since the Unix epoch; the host's clock may be stepped. */
   wallMs(): number;
-  /** Calls `callback` once, `delayMs` from now. */
+  /** Calls `callback` once, after `delayMs`. */
   setTimer(delayMs: number, callback: () => void): TimerHandle;
   clearTimer(timer: TimerHandle): void;
 }
--- a/src/ports/datagram.ts
+++ b/src/ports/datagram.ts
@@ -1,4 +1,4 @@
-/** Datagrams between our own processes; UDP outside tests. */
+/** Datagrams between processes of the system; UDP except in tests. */
 
 export interface DatagramPort {
   /** One-way and unreliable. `address` is `ip:port`. */
--- a/src/ports/engine.ts
+++ b/src/ports/engine.ts
@@ -1,11 +1,11 @@
 /**
- * Model engines, as the product needs them. One adapter meets an engine's own
- * protocol; only that adapter changes when the protocol does.
+ * The port to model engines. An adapter implements it for the protocol of an
+ * engine, so a change of the protocol affects only the adapter.
  */
 
-/** Who holds something at an engine. An engine keeps it as an opaque tag. */
+/** Identifies the owner of a session. Engines store it as an opaque tag. */
 export interface OwnerTag {
-  /** Entry host and its incarnation, `host#incarnation`. */
+  /** Entry and its incarnation, `host#incarnation`. */
   readonly entry: string;
   readonly requestId: string;
   /** One run of the request; a resumed stream is a new attempt. */
@@ -14,25 +14,25 @@
 
 export type EngineRole = 'prefill' | 'decode';
 
-/** Why an engine call failed, and whether it may have been run. */
+/** Why an engine call failed, which also tells whether it may have run. */
 export interface EngineFailure {
   readonly kind: 'failed';
   readonly reason:
-    | 'refused' // The engine answered that it will not; nothing is held.
-    | 'no-capacity' // As above, for lack of slots or memory.
-    | 'leaving' // As above, since the engine is leaving.
-    | 'unreachable' // No connection; nothing was sent.
+    | 'refused' // The engine refused the call and holds no session.
+    | 'no-capacity' // Refused for lack of slots or memory.
+    | 'leaving' // Refused because the engine is leaving.
+    | 'unreachable' // No connection was made; nothing was sent.
     | 'broken' // The connection broke or went silent after sending.
     | 'timeout'
     | 'cancelled'
-    | 'expired'; // The prefill result or reservation is gone.
+    | 'expired'; // The prefill result or the reservation has expired.
   readonly detail: string;
 }
 
 export interface PrefillCall {
   readonly owner: OwnerTag;
   readonly model: string;
-  /** Prompt as token ids; the stand-ins use a word hash for each word. */
+  /** Token ids of the prompt; for the stand-ins one hash for each word. */
   readonly promptTokens: readonly number[];
   readonly priority: number;
   readonly timeoutMs: number;
@@ -40,12 +40,12 @@
 
 export interface PrefillResult {
   readonly kind: 'prefilled';
-  /** Names the exported KV cache at the prefill engine. */
+  /** Identifies the exported KV cache at the prefill engine. */
   readonly kvHandle: string;
   readonly kvSizeBytes: number;
-  /** Tokens found in the prefix cache and not computed again. */
+  /** Number of tokens found in the prefix cache and not computed. */
   readonly cachedTokens: number;
-  /** The result is dropped this long after it was made. */
+  /** The engine drops the result after this time. */
   readonly lifeMs: number;
 }
 
@@ -60,7 +60,7 @@
 
 export interface ImportResult {
   readonly kind: 'imported';
-  /** Names the imported KV cache; decode starts from it. */
+  /** Identifies the imported KV cache for the decode call. */
   readonly sessionId: string;
 }
 
@@ -68,26 +68,26 @@
   readonly owner: OwnerTag;
   readonly sessionId: string;
   readonly maxTokens: number;
-  /** First offset wanted: 0, or where an earlier attempt was cut. */
+  /** Offset of the first token to send; above 0 for a resumed stream. */
   readonly fromOffset: number;
   readonly priority: number;
 }
 
-/** What a decode stream brings. Offsets count tokens of the answer from 0. */
+/** An event of a decode stream. Offsets count tokens of the answer from 0. */
 export type DecodeEvent =
   | {
       readonly kind: 'tokens';
       readonly requestId: string;
       readonly attemptId: string;
       readonly offset: number;
-      /** One text a token. */
+      /** One text for each token. */
       readonly texts: readonly string[];
     }
   | {
       readonly kind: 'end';
       readonly requestId: string;
       readonly attemptId: string;
-      /** How many tokens the whole answer has. */
+      /** Number of tokens of the whole answer. */
       readonly tokenCount: number;
       readonly finishReason: 'stop' | 'length';
     }
@@ -98,7 +98,7 @@
       readonly failure: EngineFailure;
     };
 
-/** A session that an engine holds, for the sweep. */
+/** A session held by an engine. */
 export interface EngineSession {
   readonly owner: OwnerTag;
   readonly kind: 'prefill-result' | 'import' | 'decode';
@@ -106,12 +106,12 @@
   readonly ageMs: number;
 }
 
-/** Load as an engine reports it; it lags. */
+/** A lagging report of an engine's load. */
 export interface EngineLoadReport {
   readonly engineId: string;
   readonly role: EngineRole;
   readonly models: readonly string[];
-  /** Counts up; an older report never replaces a newer one. */
+  /** Increases with each report, so older reports can be ignored. */
   readonly sequence: number;
   readonly slotsTotal: number;
   readonly slotsUsed: number;
@@ -121,21 +121,21 @@
   readonly leaving: boolean;
 }
 
-/** Change of an engine's prefix cache; late, and some are missing. */
+/** A change of an engine's prefix cache. Events may be late or missing. */
 export interface CacheEvent {
   readonly engineId: string;
   readonly sequence: number;
   readonly kind: 'stored' | 'evicted' | 'cleared';
-  /** Hash of a prompt prefix, by whole blocks of tokens. */
+  /** Hashes of prompt prefixes of whole token blocks. */
   readonly prefixHashes: readonly string[];
 }
 
 /** An order to an engine. */
 export interface EngineOrder {
   readonly orderId: string;
-  /** Engines that check fences refuse an order with an older one. */
+  /** Engines that check fences refuse orders with a lower fence. */
   readonly fence: number;
-  /** The engine must not start the order later than this after sending. */
+  /** The engine must not start the order after this time from its sending. */
   readonly lifeMs: number;
   readonly action:
     | {
@@ -155,14 +155,14 @@
 /** Calls to one model engine. */
 export interface EnginePort {
   prefill(call: PrefillCall): Promise<PrefillResult | EngineFailure>;
-  /** Told to the decode engine, which pulls from the prefill engine. */
+  /** Sent to the decode engine, which pulls from the prefill engine. */
   importKv(call: ImportCall): Promise<ImportResult | EngineFailure>;
   /**
-   * Starts a decode; events come to `sink` in order, the last one `end` or
-   * `cut`, exactly once. The handle's `cancel` stops it; `cut` follows.
+   * Starts a decode. `sink` receives the events in order and, as the last one,
+   * exactly one `end` or `cut`. After `cancel` of the handle, `cut` follows.
    */
   decode(call: DecodeCall, sink: (event: DecodeEvent) => void): DecodeHandle;
-  /** Frees all that the engine holds for this attempt, in any step. */
+  /** Frees all sessions of the attempt, whatever their step. */
   cancel(
     owner: OwnerTag,
     timeoutMs: number,
@@ -171,13 +171,13 @@
     timeoutMs: number,
   ): Promise<readonly EngineSession[] | EngineFailure>;
   load(timeoutMs: number): Promise<EngineLoadReport | EngineFailure>;
-  /** Cache events after `sequence`; a jump in sequences is a gap. */
+  /** Events after `afterSequence`; a gap in sequences means missing events. */
   cacheEvents(
     afterSequence: number,
     timeoutMs: number,
   ): Promise<readonly CacheEvent[] | EngineFailure>;
   order(order: EngineOrder, timeoutMs: number): Promise<OrderOutcome>;
-  /** A round trip on a fresh connection. */
+  /** Makes a round trip on a new connection. */
   probe(timeoutMs: number): Promise<'alive' | EngineFailure>;
 }
 
@@ -185,5 +185,5 @@
   cancel(): void;
 }
 
-/** Makes the port for an engine at `address` (`ip:port`). */
+/** Creates the port for the engine at `address` (`ip:port`). */
 export type EnginePortFactory = (address: string) => EnginePort;
--- a/src/ports/grants.ts
+++ b/src/ports/grants.ts
@@ -1,6 +1,6 @@
 /**
- * What an entry asks of a shard home: the right to use slots, memory and link
- * rate of engines that the home alone hands out.
+ * The port from entries to shard homes. A home alone grants the slots, memory
+ * and link rate of its shard's engines.
  */
 
 import type {OwnerTag} from './engine.js';
@@ -16,20 +16,20 @@
   readonly maxTokens: number;
   /** Hashes of the prompt's prefixes, shortest first. */
   readonly prefixHashes: readonly string[];
-  /** Time left until the first token must be out. */
+  /** Time left until the first token must be delivered. */
   readonly ttftLeftMs: number;
-  /** Time left until the whole answer must be out. */
+  /** Time left until the whole answer must be delivered. */
   readonly waitLeftMs: number;
-  /** Tokens already delivered, when a cut stream is resumed. */
+  /** Number of tokens already delivered if a stream is resumed, else 0. */
   readonly resumeOffset: number;
   /**
-   * Engines where an earlier run of this request failed; given again only
-   * when there is no other.
+   * Engines where an earlier run of this request failed. They are granted only
+   * if there are no others.
    */
   readonly avoidEngineIds?: readonly string[];
 }
 
-/** Both engines are promised from the moment the grant is given. */
+/** A grant reserves both engines from the moment it is given. */
 export interface Grant {
   readonly kind: 'granted';
   readonly grantId: string;
@@ -38,7 +38,7 @@
   readonly prefillAddress: string;
   readonly decodeEngineId: string;
   readonly decodeAddress: string;
-  /** The grant lapses unless used or renewed within this time. */
+  /** The grant expires unless used or renewed within this time. */
   readonly lifeMs: number;
   /** How long to wait before the prefill starts. */
   readonly startInMs: number;
@@ -47,7 +47,7 @@
 export interface GrantRefusal {
   readonly kind: 'refused';
   readonly reason:
-    | 'not-feasible' // Cannot be served within the targets.
+    | 'not-feasible' // The targets can't be met.
     | 'account-limit'
     | 'queue-full'
     | 'no-engine'
@@ -57,7 +57,7 @@
   readonly retryAfterMs: number;
 }
 
-/** Where a granted request stands; the home's books follow it. */
+/** Progress of a granted request, from which its home updates its records. */
 export type GrantProgress =
   | {readonly kind: 'prefill-started'}
   | {
@@ -70,19 +70,19 @@
   | {
       readonly kind: 'ended';
       readonly result: 'whole' | 'cancelled' | 'failed';
-      /** The engine to blame, when an engine failed. */
+      /** The engine that failed, if any. */
       readonly failedEngineId?: string;
       readonly tokensDelivered: number;
-      /** True if a prefill was computed and then thrown away. */
+      /** Whether a prefill was computed and then discarded. */
       readonly prefillWasted: boolean;
     };
 
 export interface GrantPort {
-  /** Waits in the home's queue; `signal` gives the place up. */
+  /** Waits in the home's queue for a grant; `signal` cancels the wait. */
   request(
     request: GrantRequest,
     signal: AbortSignal,
   ): Promise<Grant | GrantRefusal>;
-  /** One-way; repeated reports of the same step do no harm. */
+  /** One-way and idempotent for each step. */
   report(grant: Grant, progress: GrantProgress): void;
 }
--- a/src/ports/journal.ts
+++ b/src/ports/journal.ts
@@ -1,6 +1,6 @@
 /**
- * What an entry asks of the owner of a key partition, for requests that may
- * not be repeated.
+ * The port from entries to the owner of a key partition, which keeps the
+ * journal of non-repeatable calls.
  */
 
 /** An answer kept so that a repeat of the request gets the same one. */
@@ -14,33 +14,33 @@
   readonly service: string;
   readonly account: string;
   readonly idempotencyKey: string;
-  /** Hash of method, path and body; another one under the key is a conflict. */
+  /** Hash of method, path and body. One key with two hashes is a conflict. */
   readonly fingerprint: string;
   readonly attemptId: string;
-  /** Entry host and incarnation, `host#incarnation`. */
+  /** Entry and its incarnation, `host#incarnation`. */
   readonly entry: string;
   readonly timeoutMs: number;
 }
 
 export type IntentOutcome =
   | {
-      /** The intent is durable; this attempt, and no other, may dispatch. */
+      /** The intent is durable, and only this attempt may send the call. */
       readonly kind: 'proceed';
     }
   | {readonly kind: 'answered'; readonly answer: StoredAnswer}
   | {
-      /** Another attempt runs now; ask again after `retryAfterMs`. */
+      /** Another attempt is running; retry after `retryAfterMs`. */
       readonly kind: 'running';
       readonly retryAfterMs: number;
     }
   | {
-      /** An earlier attempt was dispatched and its end is not known. */
+      /** An earlier attempt was sent and its outcome is unknown. */
       readonly kind: 'outcome-unknown';
       readonly attemptId: string;
     }
   | {readonly kind: 'conflict'}
   | {
-      /** Certainly not dispatched and never will be under this attempt. */
+      /** The call wasn't sent and never will be under this attempt. */
       readonly kind: 'refused';
       readonly reason: 'platform' | 'not-owner' | 'overloaded';
       readonly retryAfterMs: number;
@@ -48,13 +48,13 @@
 
 export type JournalEnd =
   | {readonly kind: 'answered'; readonly answer: StoredAnswer}
-  /** Certainly not run: the key is free for another attempt. */
+  /** The call didn't run; the key is free for another attempt. */
   | {readonly kind: 'released'}
-  /** Dispatched, and the end will never be known by this entry. */
+  /** The call was sent, and this entry will never learn its outcome. */
   | {readonly kind: 'outcome-unknown'};
 
 export interface JournalPort {
   begin(request: IntentRequest): Promise<IntentOutcome>;
-  /** Resolves once durable, or `false` when given up. */
+  /** Resolves to `true` when durable, or to `false` after a failure. */
   end(request: IntentRequest, end: JournalEnd): Promise<boolean>;
 }
--- a/src/ports/kept_answers.ts
+++ b/src/ports/kept_answers.ts
@@ -1,7 +1,7 @@
 /**
- * How entries find and read each other's keyed model answers. The index is
- * memory at the owner of the key's partition; losing it costs a read of the
- * object store or a second run, never a second answer.
+ * Ports with which entries find and read each other's keyed model answers. The
+ * index is in memory at the owner of the key's partition. Its loss may cost a
+ * read of the object store or a second run, but never yields a second answer.
  */
 
 export interface AnswerKey {
@@ -14,25 +14,25 @@
   | {
       readonly kind: 'running';
       readonly fingerprint: string;
-      /** Peer address of the entry that runs it. */
+      /** Peer address of the entry that runs the request. */
       readonly address: string;
     }
   | {readonly kind: 'stored'; readonly fingerprint: string}
   | {readonly kind: 'none'}
-  /** The index is young or out of reach: the object store may know. */
+  /** The index is new or unreachable; the object store may have the answer. */
   | {readonly kind: 'unsure'};
 
-/** Served by the owner of a key partition, from memory. */
+/** The index of answer places, at the owner of a key partition. */
 export interface AnswerIndexPort {
   find(key: AnswerKey, timeoutMs: number): Promise<AnswerPlace>;
-  /** One-way, repeated while an answer runs; 'none' takes it back. */
+  /** One-way; repeated while an answer runs. `none` withdraws the place. */
   announce(key: AnswerKey, place: AnswerPlace): void;
 }
 
 export type AnswerPart =
   | {
       readonly kind: 'part';
-      /** Tokens from the offset asked for; none when the wait ended. */
+      /** Tokens from the requested offset; empty if the wait timed out. */
       readonly texts: readonly string[];
       /** Present when no token follows. */
       readonly end?: {
@@ -43,7 +43,7 @@
   | {readonly kind: 'absent'}
   | {readonly kind: 'failed'};
 
-/** Reads a running or kept answer at another entry. */
+/** Reads running or finished answers at other entries. */
 export interface AnswerPeerPort {
   read(
     address: string,
--- a/src/ports/plain_service.ts
+++ b/src/ports/plain_service.ts
@@ -1,15 +1,18 @@
-/** Plain services beside the model engines, as the product needs them. */
+/** The port to plain services, which are HTTP services without models. */
 
 export interface PlainCall {
   readonly requestId: string;
   readonly attemptId: string;
   readonly method: string;
-  /** Path and query, beginning with a slash. */
+  /** Path and query, starting with a slash. */
   readonly path: string;
   readonly headers: Readonly<Record<string, string>>;
   readonly body: Uint8Array;
   readonly timeoutMs: number;
-  /** Only a connection proven alive this recently may carry the call; 0: any. */
+  /**
+   * The call may use only a connection that was proven alive within this time;
+   * 0 allows any connection.
+   */
   readonly connectionProvenWithinMs: number;
 }
 
@@ -24,7 +27,7 @@
 
 export interface PlainFailure {
   readonly kind: 'failed';
-  /** Whether the upstream may have begun the call. */
+  /** Whether the upstream may have started the call. */
   readonly mayHaveRun: boolean;
   readonly reason:
     'unreachable' | 'broken' | 'timeout' | 'cancelled' | 'too-large';
@@ -37,7 +40,7 @@
     call: PlainCall,
     signal: AbortSignal,
   ): Promise<PlainAnswer | PlainFailure>;
-  /** A round trip on a fresh connection. */
+  /** Makes a round trip on a new connection. */
   probe(timeoutMs: number): Promise<boolean>;
 }
 
--- a/src/ports/plain_upstreams.ts
+++ b/src/ports/plain_upstreams.ts
@@ -1,4 +1,4 @@
-/** How a call to a plain service finds its upstream. */
+/** The port that picks the upstream of a call to a plain service. */
 
 export interface PickedUpstream {
   readonly upstreamId: string;
@@ -6,23 +6,23 @@
   readonly address: string;
 }
 
-/** How one call ended, as the picker's load and health books see it. */
+/** Result of a call, from which the picker updates load and health. */
 export type PlainCallResult =
   | 'answered'
   | 'cancelled'
-  /** No connection could be made; nothing was sent. */
+  /** No connection was made; nothing was sent. */
   | 'unreachable'
   /** The connection broke, went silent or timed out after sending. */
   | 'broken'
-  /** The upstream answered that it is leaving. */
+  /** The upstream refused the call because it is leaving. */
   | 'leaving';
 
 /**
- * Picks upstreams of plain services. Each `started` is followed by exactly one
- * `ended` for the same upstream.
+ * Picks upstreams of plain services. For each `started` there must be exactly
+ * one later `ended` with the same upstream.
  */
 export interface PlainUpstreamPicker {
-  /** Undefined when no upstream outside `excludeIds` is usable. */
+  /** Undefined if no upstream outside `excludeIds` is usable. */
   pick(
     service: string,
     excludeIds: readonly string[],
--- a/src/ports/relay.ts
+++ b/src/ports/relay.ts
@@ -1,7 +1,7 @@
 /**
- * The world of a relay, as the product needs it: callers' requests as opaque
- * bytes, upstreams, and the store that the operator and the upstreams write to.
- * Adapters meet a platform's own names and formats behind these.
+ * Ports of the relay: callers' requests as opaque bytes, upstreams, and the
+ * store that the operator and the upstreams write to. Adapters implement them
+ * for the names and formats of a platform.
  */
 
 import type {Routing} from '../core/routing_types.js';
@@ -12,136 +12,137 @@
   UpstreamSnapshot,
 } from '../core/upstream.js';
 
-/** Names and values in turn, as they stand in the message. */
+/** Alternating names and values, in the order of the message. */
 export type RawHeaders = readonly string[];
 
-/** What the router has to know of a model request without reading its body. */
+/** Facts about a model request that are known without reading its body. */
 export interface PromptDescription {
   readonly model: string;
   readonly promptTokens: number;
   readonly maxOutputTokens: number;
-  /** The caller's estimate of the output; often far off. */
+  /** The caller's estimate of the output, which is often inaccurate. */
   readonly expectedOutputTokens?: number;
 }
 
-/** A caller's request, read whole. */
+/** A caller's request with its whole body. */
 export interface RelayRequest {
-  /** The caller's own id; new with each of its attempts. */
+  /** Id set by the caller, different for each of its attempts. */
   readonly requestId: string;
   readonly method: string;
-  /** Path and query as sent. */
+  /** Path and query, as received. */
   readonly target: string;
   readonly host: string;
   /**
-   * Without hop headers, without the caller's key, and without those that only
-   * the system sets.
+   * Without hop-by-hop headers, the caller's key, and headers that only the
+   * system may set.
    */
   readonly headers: RawHeaders;
   /** Digest of the caller's key. */
   readonly keyDigest?: string;
-  /** The client account it runs for, as upstreams are to see it. */
+  /** Name of the client account, as sent to upstreams. */
   readonly accountName?: string;
   readonly body: Buffer;
   readonly arrivedAtMs: number;
-  /** How long the caller waits, from the arrival. */
+  /** How long the caller waits from the arrival on. */
   readonly waitMs: number;
   readonly prompt?: PromptDescription;
-  /** The caller resumes a stream after this event. */
+  /** Set if the caller resumes a stream after this event. */
   readonly lastEventId?: string;
 }
 
-/** Reads what the headers of a caller's request say. */
+/** Reads the headers of callers' requests. */
 export interface RequestReader {
   read(headers: RawHeaders): RequestFacts;
 }
 
 export interface RequestFacts {
   readonly requestId: string;
-  /** Undefined when the caller does not say. */
+  /** Undefined if the caller sets no limit. */
   readonly waitMs?: number;
   readonly prompt?: PromptDescription;
   readonly lastEventId?: string;
   /** Digest of the caller's key. */
   readonly keyDigest?: string;
-  /** Headers to hand on. */
+  /** Headers to forward to the upstream. */
   readonly forwarded: RawHeaders;
 }
 
-/** How much of a send may have had an effect. */
+/** Why a send failed, which also tells whether the request may have run. */
 export type SendFailure =
-  /** No connection was made, or it ended before a byte was written. */
+  /** No connection was made, or it closed before a byte was written. */
   | {readonly kind: 'unreachable'; readonly detail: string}
-  /** Nothing was sent: the upstream asks for fewer requests. */
+  /** Nothing was sent, because the upstream asked for fewer requests. */
   | {
       readonly kind: 'withheld';
       readonly detail: string;
-      /** Whom the upstream asked for it. */
+      /** The hosts that the upstream asked for fewer requests. */
       readonly scope: 'this-host' | 'all-hosts';
       readonly retryAfterMs: number;
     }
-  /** The upstream says that it did not run the request. */
+  /** The upstream answered that it didn't run the request. */
   | {
       readonly kind: 'rejected';
       readonly reason: 'full' | 'other-instance' | 'other-role' | 'other';
       readonly detail: string;
     }
-  /** The request may have run, and no answer to it was had. */
+  /** The request may have run, but no answer arrived. */
   | {readonly kind: 'broken'; readonly detail: string}
   | {readonly kind: 'cancelled'};
 
-/** The head of an upstream's answer to this very request. */
+/** The head of an upstream's answer to a request. */
 export interface UpstreamAnswer {
   readonly kind: 'answered';
   readonly status: number;
-  /** As sent, without hop headers. */
+  /** As received, without hop-by-hop headers. */
   readonly headers: RawHeaders;
   readonly hasSignature: boolean;
   readonly body: AnswerBody;
 }
 
-/** The body of an answer as it arrives. Exactly one of the ends is called. */
+/** The body of an answer, as a stream. */
 export interface AnswerBody {
-  /** Starts the flow. */
+  /** Starts reading into `sink`. */
   read(sink: AnswerBodySink): void;
   pause(): void;
   resume(): void;
-  /** Ends the connection; the upstream stops work. */
+  /** Closes the connection, so the upstream stops its work. */
   destroy(): void;
 }
 
+/** Receives the body of an answer; `end` or `broken` is called exactly once. */
 export interface AnswerBodySink {
   chunk(bytes: Buffer): void;
-  /** The body arrived whole. */
+  /** The body is complete. */
   end(): void;
-  /** The connection broke before the body was whole. */
+  /** The connection broke before the body was complete. */
   broken(detail: string): void;
 }
 
 export interface SendOptions {
   readonly upstream: Upstream;
-  /** How long the upstream may work on the request. */
+  /** Time that the upstream has for the request. */
   readonly leftMs: number;
   readonly connectTimeoutMs: number;
-  /** Longest wait for the head of the answer. */
+  /** Timeout for the head of the answer. */
   readonly headTimeoutMs: number;
   /**
-   * Whether a kept connection may carry the request. One that went silent
-   * while it lay idle would swallow it.
+   * Whether the request may use a kept-alive connection. If that connection
+   * went silent while idle, the request would be lost.
    */
   readonly mayReuseConnection: boolean;
-  /** Start from the prefill result of another engine. */
+  /** The prefill result of another engine to start from. */
   readonly prefill?: PrefillResultPlace;
-  /** Go on after this event of an earlier run. */
+  /** The event of an earlier run after which to continue. */
   readonly resumeAfterEvent?: string;
-  /** Longest wait for a place within a limit that the upstream names. */
+  /** Longest wait for a permit under the rate limit of the upstream. */
   readonly permitWaitMs?: number;
-  /** Rank among waiting requests of an engine, 0 first; 5 when absent. */
+  /** Priority in the queue of an engine; 0 is first, and 5 the default. */
   readonly enginePriority?: number;
 }
 
 export interface PrefillResultPlace {
   readonly engineId: string;
-  /** Address of the engine that made it. */
+  /** Address of the engine that holds the result. */
   readonly address: string;
   readonly handle: string;
 }
@@ -149,19 +150,19 @@
 export type PrefillOutcome =
   {readonly kind: 'prefilled'; readonly handle: string} | SendFailure;
 
-/** Lets the holder of a running call end it. */
+/** Cancels a running call. */
 export interface Cancellation {
   readonly isCancelled: boolean;
-  /** Called once, at once if already cancelled. */
+  /** Calls `listener` once, or at once if already cancelled. */
   onCancel(listener: () => void): void;
 }
 
 export interface EngineReport {
   readonly role: UpstreamRole;
   readonly isChanging: boolean;
-  /** Orders that the engine accepted since its start. */
+  /** Number of orders that the engine accepted since its start. */
   readonly orderCount: number;
-  /** Unix time of that start, where engines tell. */
+  /** Unix time of the start, if the engine reports it. */
   readonly startedAtMs?: number;
 }
 
@@ -169,23 +170,23 @@
   readonly role: UpstreamRole;
   readonly holder: string;
   readonly fence: number;
-  /** The engine refuses when it has accepted another number of orders. */
+  /** The engine refuses the order if its order count differs. */
   readonly expectedOrderCount: number;
 }
 
 export type RoleOrderOutcome = 'accepted' | 'fenced' | 'refused' | 'unknown';
 
-/** What an upstream says of itself beside an answer. */
+/** Information about an upstream that it sends along with an answer. */
 export interface UpstreamSignals {
-  /** Requests a second that it takes from all hosts together. */
+  /** Limit of requests per second from all hosts together. */
   readonly limitPerS?: number;
-  /** It leaves and is to get no new work. */
+  /** The upstream is leaving and must get no new requests. */
   readonly isLeaving?: true;
-  /** It refused, and wants nothing from this host for so long. */
+  /** The upstream refused and wants no requests of this host for this time. */
   readonly restMs?: number;
 }
 
-/** Told of each answer that an upstream gave to a request of this host. */
+/** Gets the signals of each answer to a request of this host. */
 export interface UpstreamSignalListener {
   heard(upstream: Upstream, signals: UpstreamSignals, sentAtMs: number): void;
 }
@@ -196,39 +197,39 @@
     options: SendOptions,
     cancellation: Cancellation,
   ): Promise<UpstreamAnswer | SendFailure>;
-  /** Has the prompt prefilled and kept for a decode engine. */
+  /** Prefills the prompt and keeps the result for a decode engine. */
   prefill(
     request: RelayRequest,
     options: SendOptions,
     cancellation: Cancellation,
   ): Promise<PrefillOutcome>;
-  /** Frees a prefill result that nobody will take. */
+  /** Frees a prefill result that won't be used. */
   releasePrefill(place: PrefillResultPlace): void;
-  /** Whether a connection can be made and the upstream answers. */
+  /** Whether the upstream answers on a connection. */
   isReachable(upstream: Upstream): Promise<boolean>;
   report(upstream: Upstream): Promise<EngineReport | undefined>;
   order(upstream: Upstream, order: RoleOrder): Promise<RoleOrderOutcome>;
 }
 
-/** A read of the store: its value, or why there is none. */
+/** Result of a read of the store. */
 export type StoreRead<T> =
   | {readonly kind: 'read'; readonly value: T}
-  /** The history asked for is no longer there; start anew. */
+  /** The requested history is no longer available; read from the start. */
   | {readonly kind: 'history-lost'}
   | {readonly kind: 'failed'; readonly detail: string};
 
 export interface RoutingUpdate {
-  /** Resume the feed from here; of the era that answered. */
+  /** Where to resume the feed, in the era of the store that answered. */
   readonly cursor: StoreRevision;
-  /** When the store answered. */
+  /** Time of the answer on the store's clock. */
   readonly storeNow: StoreMoment;
-  /** Absent when nothing changed. */
+  /** Absent if nothing changed. */
   readonly routing?: Routing;
-  /** A version was there that cannot be read. */
+  /** Whether the store holds a version that can't be parsed. */
   readonly isUnreadable?: boolean;
 }
 
-/** What the operator wrote. */
+/** The routing that the operator writes to the store. */
 export interface RoutingSource {
   readNow(timeoutMs: number): Promise<StoreRead<RoutingUpdate>>;
   /** Waits up to `waitMs` for a change after `cursor`. */
@@ -237,7 +238,7 @@
     waitMs: number,
     timeoutMs: number,
   ): Promise<StoreRead<RoutingUpdate>>;
-  /** For handing the configuration to peers, as the store has it. */
+  /** Encodes the routing for peers, in the format of the store. */
   encode(routing: Routing): string;
   decode(text: string): Routing | undefined;
 }
@@ -246,7 +247,7 @@
   readNow(timeoutMs: number): Promise<StoreRead<UpstreamSnapshot>>;
 }
 
-/** One of our own processes as it registered itself. */
+/** The registration of one process of the system. */
 export interface HostRecord {
   readonly hostId: string;
   readonly peerAddress: string;
--- a/src/ports/table.ts
+++ b/src/ports/table.ts
@@ -1,9 +1,9 @@
 /**
- * The platform's transactional table and object store, as the product needs
- * them. One adapter meets the platform's own protocol.
+ * Ports to the platform's transactional table, object store and list of hosts.
+ * An adapter implements them for the platform's protocol.
  */
 
-/** JSON values, as rows carry them. */
+/** A JSON value in a row. */
 export type JsonValue =
   | string
   | number
@@ -15,14 +15,14 @@
 /** The value of a row. */
 export type JsonRecord = {readonly [key: string]: JsonValue};
 
-/** A row as read. `version` starts at 1 and grows by one with each write. */
+/** A row. Its `version` starts at 1 and increases by 1 with each write. */
 export interface TableRow {
   readonly key: string;
   readonly version: number;
   readonly value: JsonRecord;
 }
 
-/** What must hold of a row for a transaction to apply. */
+/** A condition on a row that must be true for a transaction to apply. */
 export type TableCondition =
   | {readonly kind: 'absent'; readonly key: string}
   | {readonly kind: 'version'; readonly key: string; readonly version: number}
@@ -34,66 +34,66 @@
       readonly equals: string | number | boolean;
     };
 
-/** One change that a transaction makes. */
+/** A change of one row by a transaction. */
 export type TableWrite =
   | {readonly kind: 'put'; readonly key: string; readonly value: JsonRecord}
   | {readonly kind: 'delete'; readonly key: string};
 
-/** All writes happen, or none, and only if all conditions hold. */
+/** Applies all writes or none, and only if all conditions are true. */
 export interface TableTransaction {
-  /** Unique for each try to write; shown in the platform's log. */
+  /** Unique for each attempt to write; appears in the platform's log. */
   readonly attemptId: string;
   readonly conditions: readonly TableCondition[];
   readonly writes: readonly TableWrite[];
 }
 
-/** How a transaction ended, as far as the caller can know. */
+/** Outcome of a transaction, as far as the caller can determine it. */
 export type WriteOutcome =
   | {
       readonly kind: 'applied';
-      /** The table's own steady clock at the write, where it tells. */
+      /** Time of the write on the table's monotonic clock, if reported. */
       readonly tableNowMs?: number;
-      /** How often the table came back from an older copy, where it tells. */
+      /** Number of times the table was restored from a copy, if reported. */
       readonly tableEra?: number;
     }
   | {
-      /** Certainly not applied, because a condition did not hold. */
+      /** Not applied, because a condition was false. */
       readonly kind: 'rejected';
       /** Keys whose condition failed. */
       readonly failedKeys: readonly string[];
     }
   | {
-      /** Certainly not applied: refused before it was tried. */
+      /** Not applied, because it was refused before it was attempted. */
       readonly kind: 'refused';
       readonly reason: 'rate-limited' | 'unavailable' | 'budget';
       readonly retryAfterMs: number;
     }
   | {
-      /** May be applied now, may be applied later, may never be. */
+      /** May have applied, may apply later, or may never apply. */
       readonly kind: 'unknown';
       readonly reason: string;
     };
 
-/** How a read ended. */
+/** Outcome of a read. */
 export type ReadOutcome<T> =
   | {
       readonly kind: 'read';
       readonly value: T;
-      /** The table's own steady clock at the read, where it tells. */
+      /** Time of the read on the table's monotonic clock, if reported. */
       readonly tableNowMs?: number;
-      /** How often the table came back from an older copy, where it tells. */
+      /** Number of times the table was restored from a copy, if reported. */
       readonly tableEra?: number;
     }
   | {readonly kind: 'failed'; readonly reason: string};
 
 /** The platform's table. */
 export interface TablePort {
-  /** Rows that exist among `keys`; absent ones are left out. */
+  /** Reads the rows of `keys`; rows that don't exist are omitted. */
   read(
     keys: readonly string[],
     timeoutMs: number,
   ): Promise<ReadOutcome<readonly TableRow[]>>;
-  /** Rows whose key starts with `prefix`, in key order, after `afterKey`. */
+  /** Reads rows whose key starts with `prefix`, in key order. */
   scan(
     prefix: string,
     options: {readonly afterKey?: string; readonly limit: number},
@@ -107,7 +107,7 @@
 
 /** The platform's object store, for values too large for a row. */
 export interface ObjectStorePort {
-  /** Overwrites. `unknown` when the answer was lost. */
+  /** Stores or overwrites a value; `unknown` if the answer was lost. */
   put(
     key: string,
     body: Uint8Array,
@@ -120,22 +120,22 @@
   remove(key: string, timeoutMs: number): Promise<void>;
 }
 
-/** One host as the platform's lagging list shows it. */
+/** A host in the platform's list of hosts. */
 export interface ListedHost {
   readonly hostId: string;
   readonly failureDomain: string;
-  /** Address of the host for our own processes, `ip:port`. */
+  /** Address for processes of the system, `ip:port`. */
   readonly address: string;
-  /** What runs there: a router process, or an upstream of a service. */
+  /** Whether the host runs a router process or an upstream. */
   readonly role: 'router' | 'engine' | 'plain-service';
-  /** For upstreams: the service it belongs to. */
+  /** The service of an upstream. */
   readonly service?: string;
-  /** For engines: the role, as the list shows it. */
+  /** The role of an engine in the list. */
   readonly engineRole?: 'prefill' | 'decode';
   readonly state: 'live' | 'leaving';
 }
 
-/** The platform's list of live and leaving hosts; it lags. */
+/** The platform's list of live and leaving hosts, which lags behind. */
 export interface HostListPort {
   list(timeoutMs: number): Promise<ReadOutcome<readonly ListedHost[]>>;
 }
