--- a/src/ports/log.ts
+++ b/src/ports/log.ts
@@ -8,8 +8,8 @@
 
 /** A logger with a fixed prefix for one part of the program. */
 export interface Logger {
-  error(sentence: string, fields?: LogFields): void;
-  warn(sentence: string, fields?: LogFields): void;
-  info(sentence: string, fields?: LogFields): void;
-  debug(sentence: string, fields?: LogFields): void;
+  error(message: string, fields?: LogFields): void;
+  warn(message: string, fields?: LogFields): void;
+  info(message: string, fields?: LogFields): void;
+  debug(message: string, fields?: LogFields): void;
 }
--- a/src/scheduling/dispatcher.ts
+++ b/src/scheduling/dispatcher.ts
@@ -51,7 +51,7 @@
     request,
     prefill: isDecoding ? undefined : prefill,
     decode,
-    phase: isDecoding ? 'decoding' : 'promised',
+    phase: isDecoding ? 'decoding' : 'reserved',
     expectedCached: 0,
     kvBytes,
     promptKvBytes,
@@ -200,10 +200,10 @@
     },
     entryGone(entryTag) {
       tracker.releaseEntry(entryTag);
-      const gone = state.queue
+      const entryRequests = state.queue
         .items()
         .filter(queued => queued.request.owner.entry === entryTag);
-      for (const queued of gone) queue.drop(queued, 'cancelled', 0);
+      for (const queued of entryRequests) queue.drop(queued, 'cancelled', 0);
     },
     adopt: announced => adoptGrant(state, announced),
     summary: () => summarize(state),
--- a/src/scheduling/grant_issuer.ts
+++ b/src/scheduling/grant_issuer.ts
@@ -49,7 +49,7 @@
       request,
       prefill,
       decode,
-      phase: 'promised',
+      phase: 'reserved',
       expectedCached: cached,
       kvBytes: queued.kvBytes,
       promptKvBytes: queued.promptKvBytes,
--- a/src/scheduling/grant_ledger.ts
+++ b/src/scheduling/grant_ledger.ts
@@ -9,7 +9,7 @@
   /** Undefined if the engine was removed or is no longer used. */
   prefill: PoolEngine | undefined;
   decode: PoolEngine | undefined;
-  phase: 'promised' | 'prefilling' | 'prefilled' | 'decoding';
+  phase: 'reserved' | 'prefilling' | 'prefilled' | 'decoding';
   readonly expectedCached: number;
   readonly kvBytes: number;
   readonly promptKvBytes: number;
--- a/src/scheduling/grant_tracker.ts
+++ b/src/scheduling/grant_tracker.ts
@@ -163,7 +163,7 @@
     ) => void;
   } = {
     'prefill-started': held => {
-      if (held.phase === 'promised') held.phase = 'prefilling';
+      if (held.phase === 'reserved') held.phase = 'prefilling';
     },
     'prefill-done': (held, progress) => {
       if (held.phase === 'decoding' || held.phase === 'prefilled') return;
--- a/src/scheduling/shard_choice.ts
+++ b/src/scheduling/shard_choice.ts
@@ -43,7 +43,7 @@
   readonly shards: (service: string) => readonly ShardView[];
   readonly weights?: Partial<ShardWeights>;
   /** Limit of grant requests and waits for a home, for each request. */
-  readonly maxAsks?: number;
+  readonly maxAttempts?: number;
   /** Limit of busy homes tried for each request. */
   readonly maxBusy?: number;
   /** Score above which shards of other failure domains are considered too. */
@@ -56,7 +56,7 @@
 }
 
 const DEFAULT_MAX_ATTEMPTS = 6;
-const DEFAULT_MAX_BUSY = 2;
+const DEFAULT_MAX_BUSY_HOMES = 2;
 const DEFAULT_OTHER_DOMAIN_SCORE_MS = 30;
 const SUSPECT_MS = 2_000;
 const MAX_PREFIXES = 4_096;
@@ -115,8 +115,8 @@
 ): ShardChoice {
   const {clock, random, log} = host;
   const weights = {...DEFAULT_SHARD_WEIGHTS, ...options.weights};
-  const maxAsks = options.maxAsks ?? DEFAULT_MAX_ATTEMPTS;
-  const maxBusy = options.maxBusy ?? DEFAULT_MAX_BUSY;
+  const maxAttempts = options.maxAttempts ?? DEFAULT_MAX_ATTEMPTS;
+  const maxBusyHomes = options.maxBusy ?? DEFAULT_MAX_BUSY_HOMES;
   const otherDomainScoreMs = options.spillMs ?? DEFAULT_OTHER_DOMAIN_SCORE_MS;
   const records = new Map<string, ShardRecord>();
   const held = new Map<string, HeldGrant>();
@@ -342,7 +342,7 @@
       };
       let attempts = 0;
       let busyCount = 0;
-      while (attempts++ < maxAsks) {
+      while (attempts++ < maxAttempts) {
         if (signal.aborted) return cancelled();
         const shard = choose(request, triedShardIds);
         if (!shard) {
@@ -367,7 +367,8 @@
         if (!mayOtherHomeGrant[outcome.reason]) return outcome;
         // Under overload every home refuses. Trying all of them would multiply
         // the load on the homes.
-        if (!mayNewHomeGrant[outcome.reason] && ++busyCount >= maxBusy) break;
+        if (!mayNewHomeGrant[outcome.reason] && ++busyCount >= maxBusyHomes)
+          break;
       }
       return refusal;
     },
