--- a/src/request/kept_answers.ts
+++ b/src/request/kept_answers.ts
@@ -113,22 +113,22 @@
   let localBytes = 0;
 
   function removeLocal(encodedKey: string): void {
-    const entry = localAnswers.get(encodedKey);
-    if (!entry) return;
-    localBytes -= entry.sizeBytes;
+    const local = localAnswers.get(encodedKey);
+    if (!local) return;
+    localBytes -= local.sizeBytes;
     localAnswers.delete(encodedKey);
   }
 
-  function isLive(entry: LocalAnswer): boolean {
-    return !entry.answer.finished() && !entry.answer.hasFailed();
+  function isLive(local: LocalAnswer): boolean {
+    return !local.answer.finished() && !local.answer.hasFailed();
   }
 
   function find(key: AnswerKey): LiveAnswer | undefined {
     const encodedKey = encodeKey(key);
-    const entry = localAnswers.get(encodedKey);
-    if (!entry) return undefined;
-    if (isLive(entry) || host.clock.nowMs() < entry.expiresAtMs) {
-      return entry.answer;
+    const local = localAnswers.get(encodedKey);
+    if (!local) return undefined;
+    if (isLive(local) || host.clock.nowMs() < local.expiresAtMs) {
+      return local.answer;
     }
     removeLocal(encodedKey);
     return undefined;
@@ -139,22 +139,22 @@
   }
 
   /** Announces repeatedly, so that a new index owner gets the place too. */
-  function announceWhileLive(key: AnswerKey, entry: LocalAnswer): void {
-    if (!host.index || !isLive(entry)) return;
+  function announceWhileLive(key: AnswerKey, local: LocalAnswer): void {
+    if (!host.index || !isLive(local)) return;
     announce(key, {
       kind: 'running',
-      fingerprint: entry.answer.fingerprint,
+      fingerprint: local.answer.fingerprint,
       address: host.peerAddress,
     });
     host.clock.setTimer(options.announceIntervalMs, () =>
-      announceWhileLive(key, entry),
+      announceWhileLive(key, local),
     );
   }
 
   function evictFinished(): void {
-    for (const [encodedKey, entry] of localAnswers) {
+    for (const [encodedKey, local] of localAnswers) {
       if (localBytes <= options.maxLocalBytes) return;
-      if (!isLive(entry)) removeLocal(encodedKey);
+      if (!isLive(local)) removeLocal(encodedKey);
     }
   }
 
@@ -251,15 +251,15 @@
     open(request) {
       const key = answerKeyOf(request)!;
       const answer = createLiveAnswer(request.fingerprint);
-      const entry: LocalAnswer = {answer, sizeBytes: 0, expiresAtMs: Infinity};
+      const local: LocalAnswer = {answer, sizeBytes: 0, expiresAtMs: Infinity};
       removeLocal(encodeKey(key));
-      localAnswers.set(encodeKey(key), entry);
+      localAnswers.set(encodeKey(key), local);
       return answer;
     },
     close(request, answer) {
       const key = answerKeyOf(request)!;
-      const entry = localAnswers.get(encodeKey(key));
-      if (entry?.answer !== answer) return;
+      const local = localAnswers.get(encodeKey(key));
+      if (local?.answer !== answer) return;
       const finished = answer.finished();
       if (!finished) {
         removeLocal(encodeKey(key));
@@ -267,23 +267,23 @@
         return;
       }
       const retentionMs = options.retentionMs(request.service);
-      entry.expiresAtMs = host.clock.nowMs() + retentionMs;
-      entry.sizeBytes = finished.texts.reduce(
+      local.expiresAtMs = host.clock.nowMs() + retentionMs;
+      local.sizeBytes = finished.texts.reduce(
         (size, text) => size + 2 * text.length,
         0,
       );
-      localBytes += entry.sizeBytes;
+      localBytes += local.sizeBytes;
       evictFinished();
       if (request.requestClass !== 'patient') return;
       void store(key, finished, host.clock.wallMs() + retentionMs);
     },
     async lookUp(request) {
       const key = answerKeyOf(request)!;
-      const entry = localAnswers.get(encodeKey(key));
+      const local = localAnswers.get(encodeKey(key));
       const place = host.index
         ? await host.index.find(key, options.indexTimeoutMs)
         : ({kind: 'unsure'} as const);
-      if (entry) announceWhileLive(key, entry);
+      if (local) announceWhileLive(key, local);
       switch (place.kind) {
         case 'none':
           return {kind: 'none'};
--- a/tests/scheduling/plain_balancer_test.ts
+++ b/tests/scheduling/plain_balancer_test.ts
@@ -7,7 +7,7 @@
 const SERVICE = 'uus-pearaamat';
 const none: ReadonlySet<string> = new Set();
 
-function makeBalancer(count = 4) {
+function createBalancer(count = 4) {
   const clock = createVirtualClock();
   const balancer = createPlainBalancer(
     {clock, random: createSeededRandom(5)},
@@ -23,7 +23,7 @@
 }
 
 test('calls are spread by the number of outstanding calls', () => {
-  const {balancer} = makeBalancer();
+  const {balancer} = createBalancer();
   const counts = new Map<string, number>();
   for (let i = 0; i < 40; i++) {
     const {upstreamId} = balancer.pick(SERVICE, none)!;
@@ -36,7 +36,7 @@
 test('failing upstreams are ejected, but never more than half of them', () => {
   // A network fault at this host looks as if all upstreams fail. Ejecting all
   // of them would turn a short fault into a full outage.
-  const {balancer} = makeBalancer();
+  const {balancer} = createBalancer();
   for (const upstreamId of ['u0', 'u1', 'u2', 'u3']) {
     for (let i = 0; i < 5; i++) {
       balancer.started(SERVICE, upstreamId);
@@ -53,7 +53,7 @@
 });
 
 test('a leaving upstream gets no new calls', () => {
-  const {balancer} = makeBalancer(2);
+  const {balancer} = createBalancer(2);
   balancer.markLeaving(SERVICE, 'u0');
   for (let i = 0; i < 10; i++) {
     assert.equal(balancer.pick(SERVICE, none)!.upstreamId, 'u1');
@@ -101,7 +101,7 @@
 });
 
 test('a slow upstream gets fewer calls, but not none', () => {
-  const {clock, balancer} = makeBalancer(2);
+  const {clock, balancer} = createBalancer(2);
   const counts = new Map<string, number>();
   for (let i = 0; i < 400; i++) {
     const {upstreamId} = balancer.pick(SERVICE, none)!;
--- a/tests/scheduling/role_plan_test.ts
+++ b/tests/scheduling/role_plan_test.ts
@@ -9,7 +9,7 @@
   type RoleDemand,
 } from '../../src/core/scheduling/role_plan.js';
 
-function engines(prefill: number, decode: number): PlannedEngine[] {
+function createEngines(prefill: number, decode: number): PlannedEngine[] {
   return Array.from({length: prefill + decode}, (_, i) => ({
     engineId: `e${i}`,
     role: i < prefill ? ('prefill' as const) : ('decode' as const),
@@ -45,7 +45,7 @@
 
 test('a pool that stays short gets one engine of the other pool', () => {
   const changes = simulate(
-    engines(2, 11),
+    createEngines(2, 11),
     () => ({prefillEngines: 2.1, decodeEngines: 7}),
     200,
   );
@@ -57,7 +57,7 @@
   // If roles followed an alternation of long prompts and long answers, engines
   // would drain and load weights all the time and serve no requests meanwhile.
   const changes = simulate(
-    engines(3, 10),
+    createEngines(3, 10),
     second =>
       Math.floor(second / 30) % 2 === 0
         ? {prefillEngines: 3.2, decodeEngines: 7}
@@ -69,7 +69,7 @@
 
 test('no engine is taken from a pool that would then be too small', () => {
   const changes = simulate(
-    engines(2, 11),
+    createEngines(2, 11),
     () => ({prefillEngines: 2.1, decodeEngines: 10.2}),
     3_600,
   );
@@ -82,7 +82,7 @@
     ['aruanne-v2', 3],
     ['unused', 0],
   ]);
-  const loads = planModelLoads(engines(2, 4), demand, 2);
+  const loads = planModelLoads(createEngines(2, 4), demand, 2);
   assert.equal(loads.length, 2);
   assert.ok(loads.every(load => load.model === 'aruanne-v2'));
 });
--- a/tests/scheduling/shard_choice_test.ts
+++ b/tests/scheduling/shard_choice_test.ts
@@ -28,7 +28,7 @@
   resumeOffset: 0,
 };
 
-function grantOf(shardId: string): Grant {
+function createGrant(shardId: string): Grant {
   return {
     kind: 'granted',
     grantId: `${shardId}/1/1`,
@@ -42,7 +42,10 @@
   };
 }
 
-function refusing(reason: GrantRefusal['reason'], retryAfterMs: number) {
+function createRefusingPort(
+  reason: GrantRefusal['reason'],
+  retryAfterMs: number,
+) {
   return {
     request: async () => ({kind: 'refused' as const, reason, retryAfterMs}),
     report() {},
@@ -60,17 +63,20 @@
   report() {},
 };
 
-function granting(shardId: string, asks: string[]): GrantPort {
+function createGrantingPort(
+  shardId: string,
+  requestedShardIds: string[],
+): GrantPort {
   return {
     async request() {
-      asks.push(shardId);
-      return grantOf(shardId);
+      requestedShardIds.push(shardId);
+      return createGrant(shardId);
     },
     report() {},
   };
 }
 
-function view(
+function createView(
   shardId: string,
   failureDomain: string,
   grantPort: GrantPort,
@@ -97,7 +103,7 @@
   };
 }
 
-function makeChoice(shards: readonly ShardView[]) {
+function createChoice(shards: readonly ShardView[]) {
   const clock = createVirtualClock();
   const choice = createShardChoice(
     {clock, random: createSeededRandom(3), log: silentLog},
@@ -106,60 +112,92 @@
   return {clock, choice};
 }
 
-const never = () => new AbortController().signal;
+const neverAborted = () => new AbortController().signal;
 
 test('shards of the own failure domain are preferred until they are full', async () => {
-  const asks: string[] = [];
-  const {choice} = makeChoice([
-    view('near', 'bp-angyal', granting('near', asks)),
-    view('far', 'bp-csepel', granting('far', asks)),
+  const requestedShardIds: string[] = [];
+  const {choice} = createChoice([
+    createView(
+      'near',
+      'bp-angyal',
+      createGrantingPort('near', requestedShardIds),
+    ),
+    createView(
+      'far',
+      'bp-csepel',
+      createGrantingPort('far', requestedShardIds),
+    ),
   ]);
-  await choice.request(REQUEST, never());
-  assert.deepEqual(asks, ['near']);
-  const full = makeChoice([
-    view('near', 'bp-angyal', granting('near', asks), 0, 400),
-    view('far', 'bp-csepel', granting('far', asks)),
+  await choice.request(REQUEST, neverAborted());
+  assert.deepEqual(requestedShardIds, ['near']);
+  const full = createChoice([
+    createView(
+      'near',
+      'bp-angyal',
+      createGrantingPort('near', requestedShardIds),
+      0,
+      400,
+    ),
+    createView(
+      'far',
+      'bp-csepel',
+      createGrantingPort('far', requestedShardIds),
+    ),
   ]);
-  await full.choice.request(REQUEST, never());
-  assert.deepEqual(asks, ['near', 'far']);
+  await full.choice.request(REQUEST, neverAborted());
+  assert.deepEqual(requestedShardIds, ['near', 'far']);
 });
 
 test('own grants that are newer than the summary count against a shard', async () => {
   // Otherwise all entries would follow the same old summary and overload one
   // shard.
-  const asks: string[] = [];
-  const {choice} = makeChoice([
-    view('near', 'bp-angyal', granting('near', asks), 3),
-    view('far', 'bp-csepel', granting('far', asks), 3),
+  const requestedShardIds: string[] = [];
+  const {choice} = createChoice([
+    createView(
+      'near',
+      'bp-angyal',
+      createGrantingPort('near', requestedShardIds),
+      3,
+    ),
+    createView(
+      'far',
+      'bp-csepel',
+      createGrantingPort('far', requestedShardIds),
+      3,
+    ),
   ]);
-  for (let i = 0; i < 6; i++) await choice.request(REQUEST, never());
-  assert.ok(asks.includes('far'));
+  for (let i = 0; i < 6; i++) await choice.request(REQUEST, neverAborted());
+  assert.ok(requestedShardIds.includes('far'));
 });
 
 test('a silent home times out near the time to the first token', async () => {
   // The host of a home is unreachable while its engines are healthy. Requests
   // must go to another home instead of waiting until their deadline.
-  const asks: string[] = [];
-  const {clock, choice} = makeChoice([
-    view('near', 'bp-angyal', silentPort),
-    view('far', 'bp-csepel', granting('far', asks)),
+  const requestedShardIds: string[] = [];
+  const {clock, choice} = createChoice([
+    createView('near', 'bp-angyal', silentPort),
+    createView(
+      'far',
+      'bp-csepel',
+      createGrantingPort('far', requestedShardIds),
+    ),
   ]);
   const relaxed = {...REQUEST, ttftLeftMs: 1_000};
-  const answer = choice.request(relaxed, never());
+  const answer = choice.request(relaxed, neverAborted());
   await clock.advance(1_351);
-  assert.deepEqual(asks, []);
+  assert.deepEqual(requestedShardIds, []);
   assert.equal((await answer).kind, 'refused');
-  const second = await choice.request(relaxed, never());
+  const second = await choice.request(relaxed, neverAborted());
   assert.equal(second.kind, 'granted');
-  assert.deepEqual(asks, ['far']);
+  assert.deepEqual(requestedShardIds, ['far']);
 });
 
 test('a refusal by all homes has the shortest retry time', async () => {
-  const {choice} = makeChoice([
-    view('near', 'bp-angyal', refusing('not-feasible', 900)),
-    view('far', 'bp-csepel', refusing('queue-full', 400)),
+  const {choice} = createChoice([
+    createView('near', 'bp-angyal', createRefusingPort('not-feasible', 900)),
+    createView('far', 'bp-csepel', createRefusingPort('queue-full', 400)),
   ]);
-  const answer = await choice.request(REQUEST, never());
+  const answer = await choice.request(REQUEST, neverAborted());
   assert.equal((answer as GrantRefusal).retryAfterMs, 400);
 });
 
@@ -169,19 +207,24 @@
   let isHomeBack = false;
   const moving: GrantPort = {
     async request() {
-      if (isHomeBack) return grantOf('near');
+      if (isHomeBack) return createGrant('near');
       return {kind: 'refused', reason: 'home-moved', retryAfterMs: 250};
     },
     report() {},
   };
-  const {clock, choice} = makeChoice([view('near', 'bp-angyal', moving)]);
-  const answer = choice.request({...REQUEST, ttftLeftMs: 4_000}, never());
+  const {clock, choice} = createChoice([
+    createView('near', 'bp-angyal', moving),
+  ]);
+  const answer = choice.request(
+    {...REQUEST, ttftLeftMs: 4_000},
+    neverAborted(),
+  );
   await clock.advance(500);
   isHomeBack = true;
   await clock.advance(400);
   assert.equal((await answer).kind, 'granted');
   isHomeBack = false;
-  const short = choice.request({...REQUEST, ttftLeftMs: 400}, never());
+  const short = choice.request({...REQUEST, ttftLeftMs: 400}, neverAborted());
   await clock.advance(1);
   assert.equal((await short).kind, 'refused');
 });
--- a/tests/scheduling/shard_home_test.ts
+++ b/tests/scheduling/shard_home_test.ts
@@ -16,7 +16,7 @@
 const KV_BYTES = 20_000;
 const silentLog = {error() {}, warn() {}, info() {}, debug() {}};
 
-function engine(
+function describeEngine(
   engineId: string,
   role: 'prefill' | 'decode',
   slots: number,
@@ -33,7 +33,7 @@
   };
 }
 
-function makeHome(slots = 2, changes = {}) {
+function createHome(slots = 2, changes = {}) {
   const clock = createVirtualClock();
   const home = createShardHome(
     {clock, random: createSeededRandom(1), log: silentLog},
@@ -48,12 +48,15 @@
       ...changes,
     },
   );
-  home.setEngines([engine('p1', 'prefill', 8), engine('d1', 'decode', slots)]);
+  home.setEngines([
+    describeEngine('p1', 'prefill', 8),
+    describeEngine('d1', 'decode', slots),
+  ]);
   return {clock, home};
 }
 
 let requestCount = 0;
-function request(changes: Partial<GrantRequest> = {}): GrantRequest {
+function createRequest(changes: Partial<GrantRequest> = {}): GrantRequest {
   requestCount++;
   return {
     owner: {
@@ -74,9 +77,9 @@
   };
 }
 
-const never = () => new AbortController().signal;
+const neverAborted = () => new AbortController().signal;
 
-function ended(grant: Grant) {
+function endedReport(grant: Grant) {
   return {
     kind: 'ended' as const,
     result: 'whole' as const,
@@ -87,32 +90,34 @@
 }
 
 test('a decode slot is granted once, and again after its release', async () => {
-  const {clock, home} = makeHome(1);
-  const first = await home.request(request(), never());
+  const {clock, home} = createHome(1);
+  const first = await home.request(createRequest(), neverAborted());
   assert.equal(first.kind, 'granted');
   const answers: (Grant | GrantRefusal)[] = [];
-  void home.request(request(), never()).then(answer => answers.push(answer));
+  void home
+    .request(createRequest(), neverAborted())
+    .then(answer => answers.push(answer));
   await clock.advance(500);
   assert.equal(answers.length, 0);
-  home.report(first as Grant, ended(first as Grant));
+  home.report(first as Grant, endedReport(first as Grant));
   await clock.advance(50);
   assert.equal(answers[0]?.kind, 'granted');
   home.stop();
 });
 
-function prefillDone(home: ShardHome, grant: Grant, kvSizeBytes: number) {
+function reportPrefill(home: ShardHome, grant: Grant, kvSizeBytes: number) {
   home.report(grant, {kind: 'prefill-started'});
   home.report(grant, {kind: 'prefill-done', kvSizeBytes, cachedTokens: 0});
   home.report(grant, {kind: 'decode-started'});
 }
 
 test('granted memory never exceeds the memory of the engine', async () => {
-  const {clock, home} = makeHome(20);
+  const {clock, home} = createHome(20);
   for (let i = 0; i < 20; i++) {
     void home
-      .request(request({promptTokenCount: 300}), never())
+      .request(createRequest({promptTokenCount: 300}), neverAborted())
       .then(answer => {
-        if (answer.kind === 'granted') prefillDone(home, answer, 3_000);
+        if (answer.kind === 'granted') reportPrefill(home, answer, 3_000);
       });
   }
   await clock.advance(2_000);
@@ -125,9 +130,12 @@
 test('a request that cannot start in time is refused at once with a retry time', async () => {
   // The only slot is taken for long, so the second request can't start in time.
   // Without an early refusal its caller would wait for nothing.
-  const {home} = makeHome(1);
-  await home.request(request(), never());
-  const answer = await home.request(request({ttftLeftMs: 300}), never());
+  const {home} = createHome(1);
+  await home.request(createRequest(), neverAborted());
+  const answer = await home.request(
+    createRequest({ttftLeftMs: 300}),
+    neverAborted(),
+  );
   assert.equal(answer.kind, 'refused');
   assert.equal((answer as GrantRefusal).reason, 'not-feasible');
   assert.ok((answer as GrantRefusal).retryAfterMs > 300);
@@ -137,30 +145,30 @@
 test('the grants of an entry that died are released', async () => {
   // An entry dies while it holds all slots. Others must soon get them, although
   // the ends of the grants are never reported.
-  const {clock, home} = makeHome(1);
-  await home.request(request(), never());
+  const {clock, home} = createHome(1);
+  await home.request(createRequest(), neverAborted());
   home.entryGone('e1#1');
   await clock.advance(1_100);
   const owner = {entry: 'e2#1', requestId: 'x', attemptId: 'x'};
-  const answer = await home.request(request({owner}), never());
+  const answer = await home.request(createRequest({owner}), neverAborted());
   assert.equal(answer.kind, 'granted');
   home.stop();
 });
 
 test('a grant without reports expires', async () => {
-  const {clock, home} = makeHome(1);
-  await home.request(request(), never());
+  const {clock, home} = createHome(1);
+  await home.request(createRequest(), neverAborted());
   await clock.advance(7_000);
-  const next = await home.request(request(), never());
+  const next = await home.request(createRequest(), neverAborted());
   assert.equal(next.kind, 'granted');
   home.stop();
 });
 
 test('a cancelled request is removed from the queue', async () => {
-  const {clock, home} = makeHome(1);
-  await home.request(request(), never());
+  const {clock, home} = createHome(1);
+  await home.request(createRequest(), neverAborted());
   const controller = new AbortController();
-  const waiting = home.request(request(), controller.signal);
+  const waiting = home.request(createRequest(), controller.signal);
   controller.abort();
   assert.equal(((await waiting) as GrantRefusal).reason, 'cancelled');
   assert.equal(home.summary().queued, 0);
@@ -171,11 +179,11 @@
 test('a new home waits for engine reports and uses half of the free slots', async () => {
   // The old home may be paused rather than dead, and may still grant slots. The
   // new one must not grant more than half of the slots that are reported free.
-  const {clock, home} = makeHome(20, {rebuildMs: 2_000});
+  const {clock, home} = createHome(20, {rebuildMs: 2_000});
   const answers: (Grant | GrantRefusal)[] = [];
   for (let i = 0; i < 10; i++) {
-    const small = request({promptTokenCount: 10, maxTokens: 10});
-    void home.request(small, never()).then(each => answers.push(each));
+    const small = createRequest({promptTokenCount: 10, maxTokens: 10});
+    void home.request(small, neverAborted()).then(each => answers.push(each));
   }
   await clock.advance(300);
   assert.equal(answers.length, 0);
