--- a/tests/scheduling/shard_choice_test.ts
+++ b/tests/scheduling/shard_choice_test.ts
@@ -28,7 +28,7 @@
   resumeOffset: 0,
 };
 
-function grantOf(shardId: string): Grant {
+function createGrant(shardId: string): Grant {
   return {
     kind: 'granted',
     grantId: `${shardId}/1/1`,
@@ -42,14 +42,17 @@
   };
 }
 
-function refusing(reason: GrantRefusal['reason'], retryAfterMs: number) {
+function createRefusingPort(
+  reason: GrantRefusal['reason'],
+  retryAfterMs: number,
+) {
   return {
     request: async () => ({kind: 'refused' as const, reason, retryAfterMs}),
     report() {},
   };
 }
 
-/** A home that never answers, until its caller gives up. */
+/** A home that doesn't answer before the request is aborted. */
 const silentPort: GrantPort = {
   request: (_request, signal) =>
     new Promise(resolve => {
@@ -60,17 +63,20 @@
   report() {},
 };
 
-function granting(shardId: string, asks: string[]): GrantPort {
+function createGrantingPort(
+  shardId: string,
+  requestedShardIds: string[],
+): GrantPort {
   return {
     async request() {
-      asks.push(shardId);
-      return grantOf(shardId);
+      requestedShardIds.push(shardId);
+      return createGrant(shardId);
     },
     report() {},
   };
 }
 
-function view(
+function createView(
   shardId: string,
   failureDomain: string,
   grantPort: GrantPort,
@@ -97,7 +103,7 @@
   };
 }
 
-function makeChoice(shards: readonly ShardView[]) {
+function createChoice(shards: readonly ShardView[]) {
   const clock = createVirtualClock();
   const choice = createShardChoice(
     {clock, random: createSeededRandom(3), log: silentLog},
@@ -106,81 +112,119 @@
   return {clock, choice};
 }
 
-const never = () => new AbortController().signal;
+const neverAborted = () => new AbortController().signal;
 
-test('the own failure domain is preferred until it is full', async () => {
-  const asks: string[] = [];
-  const {choice} = makeChoice([
-    view('near', 'bp-angyal', granting('near', asks)),
-    view('far', 'bp-csepel', granting('far', asks)),
+test('shards of the own failure domain are preferred until they are full', async () => {
+  const requestedShardIds: string[] = [];
+  const {choice} = createChoice([
+    createView(
+      'near',
+      'bp-angyal',
+      createGrantingPort('near', requestedShardIds),
+    ),
+    createView(
+      'far',
+      'bp-csepel',
+      createGrantingPort('far', requestedShardIds),
+    ),
   ]);
-  await choice.request(REQUEST, never());
-  assert.deepEqual(asks, ['near']);
-  const full = makeChoice([
-    view('near', 'bp-angyal', granting('near', asks), 0, 400),
-    view('far', 'bp-csepel', granting('far', asks)),
+  await choice.request(REQUEST, neverAborted());
+  assert.deepEqual(requestedShardIds, ['near']);
+  const full = createChoice([
+    createView(
+      'near',
+      'bp-angyal',
+      createGrantingPort('near', requestedShardIds),
+      0,
+      400,
+    ),
+    createView(
+      'far',
+      'bp-csepel',
+      createGrantingPort('far', requestedShardIds),
+    ),
   ]);
-  await full.choice.request(REQUEST, never());
-  assert.deepEqual(asks, ['near', 'far']);
+  await full.choice.request(REQUEST, neverAborted());
+  assert.deepEqual(requestedShardIds, ['near', 'far']);
 });
 
-test('own grants that a summary cannot show yet count against a shard', async () => {
-  // All entries would follow the same old summary to one shard and drown it.
-  const asks: string[] = [];
-  const {choice} = makeChoice([
-    view('near', 'bp-angyal', granting('near', asks), 3),
-    view('far', 'bp-csepel', granting('far', asks), 3),
+test('own grants that are newer than the summary count against a shard', async () => {
+  // Otherwise all entries would follow the same old summary and overload one
+  // shard.
+  const requestedShardIds: string[] = [];
+  const {choice} = createChoice([
+    createView(
+      'near',
+      'bp-angyal',
+      createGrantingPort('near', requestedShardIds),
+      3,
+    ),
+    createView(
+      'far',
+      'bp-csepel',
+      createGrantingPort('far', requestedShardIds),
+      3,
+    ),
   ]);
-  for (let i = 0; i < 6; i++) await choice.request(REQUEST, never());
-  assert.ok(asks.includes('far'));
+  for (let i = 0; i < 6; i++) await choice.request(REQUEST, neverAborted());
+  assert.ok(requestedShardIds.includes('far'));
 });
 
-test('a silent home is given up within the time to first token', async () => {
-  // The home's host is cut off while its engines are fine. The caller's
-  // request must go to another home, not wait until its deadline.
-  const asks: string[] = [];
-  const {clock, choice} = makeChoice([
-    view('near', 'bp-angyal', silentPort),
-    view('far', 'bp-csepel', granting('far', asks)),
+test('a silent home times out near the time to the first token', async () => {
+  // The host of a home is unreachable while its engines are healthy. Requests
+  // must go to another home instead of waiting until their deadline.
+  const requestedShardIds: string[] = [];
+  const {clock, choice} = createChoice([
+    createView('near', 'bp-angyal', silentPort),
+    createView(
+      'far',
+      'bp-csepel',
+      createGrantingPort('far', requestedShardIds),
+    ),
   ]);
   const relaxed = {...REQUEST, ttftLeftMs: 1_000};
-  const answer = choice.request(relaxed, never());
+  const answer = choice.request(relaxed, neverAborted());
   await clock.advance(1_351);
-  assert.deepEqual(asks, []);
+  assert.deepEqual(requestedShardIds, []);
   assert.equal((await answer).kind, 'refused');
-  const second = await choice.request(relaxed, never());
+  const second = await choice.request(relaxed, neverAborted());
   assert.equal(second.kind, 'granted');
-  assert.deepEqual(asks, ['far']);
+  assert.deepEqual(requestedShardIds, ['far']);
 });
 
-test('a refusal by all asked homes carries the soonest time to return', async () => {
-  const {choice} = makeChoice([
-    view('near', 'bp-angyal', refusing('not-feasible', 900)),
-    view('far', 'bp-csepel', refusing('queue-full', 400)),
+test('a refusal by all homes has the shortest retry time', async () => {
+  const {choice} = createChoice([
+    createView('near', 'bp-angyal', createRefusingPort('not-feasible', 900)),
+    createView('far', 'bp-csepel', createRefusingPort('queue-full', 400)),
   ]);
-  const answer = await choice.request(REQUEST, never());
+  const answer = await choice.request(REQUEST, neverAborted());
   assert.equal((answer as GrantRefusal).retryAfterMs, 400);
 });
 
-test('a home that moved is waited for, within half the time to first token', async () => {
-  // A router host is replaced. Its shard has no home for a second though all
-  // engines are fine; callers should not be refused for that.
-  let isBack = false;
+test('a request waits for a moved home up to half its time to the first token', async () => {
+  // A router host is replaced. Its shard has no home for a second while all
+  // engines are healthy, and callers should not be refused for that.
+  let isHomeBack = false;
   const moving: GrantPort = {
     async request() {
-      if (isBack) return grantOf('near');
+      if (isHomeBack) return createGrant('near');
       return {kind: 'refused', reason: 'home-moved', retryAfterMs: 250};
     },
     report() {},
   };
-  const {clock, choice} = makeChoice([view('near', 'bp-angyal', moving)]);
-  const answer = choice.request({...REQUEST, ttftLeftMs: 4_000}, never());
+  const {clock, choice} = createChoice([
+    createView('near', 'bp-angyal', moving),
+  ]);
+  const answer = choice.request(
+    {...REQUEST, ttftLeftMs: 4_000},
+    neverAborted(),
+  );
   await clock.advance(500);
-  isBack = true;
+  isHomeBack = true;
   await clock.advance(400);
   assert.equal((await answer).kind, 'granted');
-  isBack = false;
-  const short = choice.request({...REQUEST, ttftLeftMs: 400}, never());
+  isHomeBack = false;
+  const short = choice.request({...REQUEST, ttftLeftMs: 400}, neverAborted());
   await clock.advance(1);
   assert.equal((await short).kind, 'refused');
 });
