--- a/src/entry/http_front.ts
+++ b/src/entry/http_front.ts
@@ -101,7 +101,7 @@
     const {settings} = front;
     const admission = host.limits.admit(account);
     if (admission.kind === 'refused') {
-      const detail = `Account "${account.name}" has reached its limit.`;
+      const detail = `Limit of account "${account.name}".`;
       const {retryAfterMs} = admission;
       refuse(
         exchange,
@@ -133,7 +133,7 @@
     return async exchange => {
       const front = host.getSettings();
       if (!front) {
-        const detail = 'This entry has not read a configuration yet.';
+        const detail = 'This entry has just started.';
         refuse(exchange, {
           kind: 'configuration-missing',
           detail,
--- a/src/entry/model_route.ts
+++ b/src/entry/model_route.ts
@@ -78,7 +78,7 @@
     return refused('unknown-service', `No service runs model "${body.model}".`);
   }
   if (!caller.account.services.includes(service.name)) {
-    const detail = `Account "${caller.account.name}" may not use this service.`;
+    const detail = `Account "${caller.account.name}" has no right to it.`;
     return refused('forbidden', detail);
   }
   const promptTokens = tokenizePrompt(body.promptText);
--- a/src/entry/plain_route.ts
+++ b/src/entry/plain_route.ts
@@ -100,7 +100,7 @@
     return refused('unknown-service', `No plain service "${target.service}".`);
   }
   if (!caller.account.services.includes(service.name)) {
-    const detail = `Account "${caller.account.name}" may not use this service.`;
+    const detail = `Account "${caller.account.name}" has no right to it.`;
     return refused('forbidden', detail);
   }
   const wait = readWaitMs(request.headers);
--- a/src/entry/read_body.ts
+++ b/src/entry/read_body.ts
@@ -24,7 +24,7 @@
     const chunks: Buffer[] = [];
     let sizeBytes = 0;
     const timer = clock.setTimer(limits.bodyTimeoutMs, () => {
-      const detail = `The body was not complete within ${limits.bodyTimeoutMs} ms.`;
+      const detail = `No whole body within ${limits.bodyTimeoutMs} ms.`;
       finish({kind: 'failed', error: {kind: 'body-timeout', detail}});
     });
 
@@ -39,7 +39,7 @@
     request.on('data', (chunk: Buffer) => {
       sizeBytes += chunk.length;
       if (sizeBytes > limits.maxBodyBytes) {
-        const detail = `The body exceeds ${limits.maxBodyBytes} bytes.`;
+        const detail = `The limit is ${limits.maxBodyBytes} bytes.`;
         finish({kind: 'failed', error: {kind: 'body-too-large', detail}});
         return;
       }
