--- a/bench/decision.ts
+++ b/bench/decision.ts
@@ -6,7 +6,7 @@
 import {build, type Histogram} from 'hdr-histogram-js';
 import {createSeededRandom} from '../src/core/seeded_random.js';
 import {createVirtualClock} from '../src/core/virtual_clock.js';
-import type {EngineDescription} from '../src/core/scheduling/engine_book.js';
+import type {EngineDescription} from '../src/core/scheduling/engine_reservations.js';
 import type {Grant, GrantRefusal, GrantRequest} from '../src/ports/grants.js';
 import {createDispatcher} from '../src/scheduling/dispatcher.js';
 
@@ -75,7 +75,7 @@
       targets: {ttftMs: 1e9, tokenIntervalMs: 60, waitMs: 1e9},
       wasteWeight: 1,
       maxQueued: size.waiting + 10_000,
-      guesses: {kvBytesPerToken: 160_000},
+      initialEstimates: {kvBytesPerToken: 160_000},
     },
   );
   dispatcher.setEngines(makeEngines(size.engines));
--- a/bench/home_slopes.ts
+++ b/bench/home_slopes.ts
@@ -45,7 +45,7 @@
       targets: {ttftMs: 2_000, tokenIntervalMs: 60, waitMs: 60_000},
       wasteWeight: 0.5,
       maxQueued: 2_000,
-      guesses: {kvBytesPerToken: 160_000, prefillMsPerToken: 0.02},
+      initialEstimates: {kvBytesPerToken: 160_000, prefillMsPerToken: 0.02},
     },
   );
   dispatcher.setEngines(
--- a/bench/placer_slopes.ts
+++ b/bench/placer_slopes.ts
@@ -10,14 +10,14 @@
 import type {Service} from '../src/core/routing_types.js';
 import {createSeededRandom} from '../src/core/seeded_random.js';
 import {createVirtualClock} from '../src/core/virtual_clock.js';
-import {createEngineBooks} from '../src/relay/placement/engine_books.js';
+import {createEngineLoads} from '../src/relay/placement/engine_loads.js';
 import {createEngineScheduler} from '../src/relay/placement/engine_scheduler.js';
-import {createPlacementDesk} from '../src/relay/placement/placement_desk.js';
+import {createPlacementServer} from '../src/relay/placement/placement_server.js';
 import type {
   PlacementAnswer,
-  PlacementAsk,
+  PlacementRequest,
 } from '../src/relay/placement/placement_messages.js';
-import {createSharedLearning} from '../src/relay/placement/shared_learning.js';
+import {createSharedStatistics} from '../src/relay/placement/shared_statistics.js';
 import {createUpstreamRegistry} from '../src/relay/store/upstream_registry.js';
 
 const HOST_COUNTS: readonly number[] = [20, 79, 128];
@@ -76,23 +76,23 @@
       role: i < engineCount * PREFILL_SHARE ? 'prefill' : 'decode',
     })),
   });
-  const books = createEngineBooks();
-  const learning = createSharedLearning({clock});
+  const engineLoads = createEngineLoads();
+  const statistics = createSharedStatistics({clock});
   const scheduler = createEngineScheduler({
     clock,
     random,
     log,
     registry,
-    books,
-    learning,
+    engineLoads,
+    statistics,
     groups: {
       placers: () => ['placer'],
       keepers: () => [],
       groupCount: () => 1,
-      isNear: () => false,
-      isMate: () => true,
-      isOwn: () => true,
-      isOwnOf: () => true,
+      isUpdatedAtOnce: () => false,
+      isInOwnGroup: () => true,
+      isPreferred: () => true,
+      isPreferredBy: () => true,
       refresh: () => undefined,
     },
     peers: {
@@ -100,10 +100,10 @@
       isSuspect: () => false,
       isFull: () => false,
       isChanging: () => false,
-      isAwaited: () => false,
+      hasWaiters: () => false,
     },
     isChanging: () => false,
-    isHeld: () => false,
+    isPaused: () => false,
     onChange: () => undefined,
   });
   let busyMs = 0;
@@ -123,16 +123,16 @@
 
   const entries = Array.from({length: hostCount}, (_, i) => ({
     hostId: `host-${i}`,
-    books: createEngineBooks(),
-    asks: new Map<number, PlacementAsk>(),
+    engineLoads: createEngineLoads(),
+    asks: new Map<number, PlacementRequest>(),
   }));
   const byId = new Map(entries.map(entry => [entry.hostId, entry]));
-  const desk = createPlacementDesk({
+  const server = createPlacementServer({
     clock,
     scheduler,
-    learning,
+    statistics,
     findService: () => service,
-    tell(hostId, message) {
+    send(hostId, message) {
       messages++;
       bytes += JSON.stringify(message).length;
       clock.setTimer(1, () => adopt(hostId, message as PlacementAnswer));
@@ -140,11 +140,11 @@
   });
 
   function announce(hostId: string, adopted: readonly number[]): void {
-    const load = byId.get(hostId)!.books.own();
+    const load = byId.get(hostId)!.engineLoads.ownLoad();
     charge({load, adopted, from: hostId}, () => {
-      books.setPeer(hostId, load);
-      desk.adopted(hostId, adopted);
-      scheduler.pumpSoon();
+      engineLoads.setPeerLoad(hostId, load);
+      server.releaseAdopted(hostId, adopted);
+      scheduler.processQueueSoon();
     });
   }
 
@@ -153,7 +153,7 @@
     const ask = entry.asks.get(answer.askId);
     if (answer.kind !== 'placed' || !ask) return;
     entry.asks.delete(answer.askId);
-    const run = entry.books.startRun({
+    const run = entry.engineLoads.startRun({
       engineId: answer.decode,
       promptTokens: ask.promptTokens,
       expectedOutputTokens: ask.expectedOutputTokens,
@@ -161,7 +161,7 @@
     announce(hostId, [answer.askId]);
     clock.setTimer(PREFILL_MS, () => announce(hostId, []));
     clock.setTimer(RUN_MS, () => {
-      entry.books.endRun(run);
+      entry.engineLoads.endRun(run);
       announce(hostId, []);
     });
   }
@@ -169,7 +169,7 @@
   let askId = 1;
   function offer(): void {
     const entry = entries[random.nextInt(entries.length)];
-    const ask: PlacementAsk = {
+    const ask: PlacementRequest = {
       kind: 'ask',
       askId: askId++,
       requestId: `request-${askId}`,
@@ -183,7 +183,7 @@
       callerLeftMs: 14_000,
     };
     entry.asks.set(ask.askId, ask);
-    charge(ask, () => desk.receive(entry.hostId, ask));
+    charge(ask, () => server.receive(entry.hostId, ask));
     const gapMs = 1_000 / (STREAMS_PER_HOST_S * hostCount);
     clock.setTimer(-Math.log(1 - random.nextFloat()) * gapMs, offer);
   }
--- a/bench/policy/faults.ts
+++ b/bench/policy/faults.ts
@@ -35,7 +35,7 @@
   const engine =
     cluster.prefills.get(engineId) ?? cluster.decodes.get(engineId)!;
   engine.die();
-  clock.setTimer(DEATH_NOTICE_MS, () => scheduler.engineGone(engineId));
+  clock.setTimer(DEATH_NOTICE_MS, () => scheduler.removeEngine(engineId));
 }
 
 function revive(context: FaultContext, engineIds: readonly string[]): void {
--- a/bench/policy/knobs.ts
+++ b/bench/policy/knobs.ts
@@ -16,7 +16,7 @@
   for (const shape of Object.values(SHAPES)) {
     printHeader(`${shape.name} at ${LOAD}: waste weight, no fault`);
     for (const wasteWeight of WASTE_WEIGHTS) {
-      const factory = homeFactory({}, {wasteWeight, importsWait: true});
+      const factory = homeFactory({}, {wasteWeight, hasImportRetries: true});
       printRow(
         `weight ${wasteWeight}`,
         runSeeds(shape, factory, seeds, {load: LOAD}),
@@ -24,7 +24,7 @@
     }
     printHeader(`${shape.name} at ${LOAD}: waste weight, deaths and cancels`);
     for (const wasteWeight of WASTE_WEIGHTS) {
-      const factory = homeFactory({}, {wasteWeight, importsWait: true});
+      const factory = homeFactory({}, {wasteWeight, hasImportRetries: true});
       const runs = runSeeds(shape, factory, seeds, {
         load: LOAD,
         cancelShare: 0.05,
--- a/bench/policy/plots.ts
+++ b/bench/policy/plots.ts
@@ -139,7 +139,7 @@
   const waste: Line[] = [];
   for (const shape of Object.values(SHAPES)) {
     const byWeight = WASTE_WEIGHTS.map(wasteWeight => {
-      const factory = homeFactory({}, {wasteWeight, importsWait: true});
+      const factory = homeFactory({}, {wasteWeight, hasImportRetries: true});
       return [
         wasteWeight,
         runSeeds(shape, factory, seeds, {load: 1.3}),
--- a/bench/policy/scheduler.ts
+++ b/bench/policy/scheduler.ts
@@ -4,7 +4,7 @@
 import type {CacheEvent, EngineLoadReport} from '../../src/ports/engine.js';
 import type {GrantProgress, GrantRequest} from '../../src/ports/grants.js';
 import type {Random} from '../../src/ports/random.js';
-import type {EngineDescription} from '../../src/core/scheduling/engine_book.js';
+import type {EngineDescription} from '../../src/core/scheduling/engine_reservations.js';
 import {
   createPolicy,
   type SchedulingPolicy,
@@ -12,7 +12,7 @@
 import {createDispatcher} from '../../src/scheduling/dispatcher.js';
 import type {
   DispatcherOptions,
-  EngineBookView,
+  EngineUsage,
   GrantReply,
   GrantTicket,
 } from '../../src/scheduling/dispatcher_types.js';
@@ -25,10 +25,10 @@
   setEngines(engines: readonly EngineDescription[]): void;
   applyLoadReport(report: EngineLoadReport): void;
   applyCacheEvents(engineId: string, events: readonly CacheEvent[]): void;
-  engineGone(engineId: string): void;
+  removeEngine(engineId: string): void;
   /** Another decode engine after a refused import; baselines only. */
   repick?(engineId: string): string;
-  books(): readonly EngineBookView[];
+  engineUsage(): readonly EngineUsage[];
   stop(): void;
 }
 
@@ -65,7 +65,7 @@
         },
         wasteWeight: shape.wasteWeight,
         maxQueued: 2_000,
-        guesses: GUESSES,
+        initialEstimates: GUESSES,
         policy,
         ...changes,
       },
@@ -77,7 +77,7 @@
   order: 'arrival',
   refuseEarly: false,
   isFair: false,
-  promiseFromForecast: false,
+  grantFromForecast: false,
   scheduleLinks: false,
   usePrefixCache: false,
   watchHealth: false,
@@ -136,14 +136,14 @@
         reports.set(report.engineId, report);
       },
       applyCacheEvents() {},
-      engineGone(engineId) {
+      removeEngine(engineId) {
         gone.add(engineId);
       },
       repick(engineId) {
         const decodes = ofRole('decode');
         return decodes.length === 0 ? engineId : pick(decodes).engineId;
       },
-      books: () => [],
+      engineUsage: () => [],
       stop() {},
     };
   };
@@ -195,10 +195,7 @@
       ['+deadline order', {order: 'deadline'}],
       ['+refuse early', {refuseEarly: true}],
       ['+refuse, fair', {refuseEarly: true, isFair: true}],
-      [
-        '+forecast slots',
-        {promiseFromForecast: true, forecastConfidence: 0.95},
-      ],
+      ['+forecast slots', {grantFromForecast: true, forecastConfidence: 0.95}],
       ['+link timetable', {scheduleLinks: true}],
       ['+prefix cache', {usePrefixCache: true}],
       ['+health', {watchHealth: true}],
@@ -213,7 +210,7 @@
 /** As `WHOLE`, when entries repeat imports that find no room. */
 export const WITH_FORECAST: SchedulerFactory = homeFactory(
   {},
-  {importsWait: true},
+  {hasImportRetries: true},
 );
 
 export const WITHOUT_ONE: ReadonlyMap<string, SchedulerFactory> = new Map(
--- a/bench/policy/shards.ts
+++ b/bench/policy/shards.ts
@@ -51,7 +51,12 @@
   {name: 'as it ships', sees: all},
   {name: 'own domain only', sees: (view, own) => view.failureDomain === own},
   {name: 'summaries alone', weights: {shortSlotMs: 0}, sees: all},
-  {name: 'no preference', weights: {awayMs: 0}, spillMs: -1e6, sees: all},
+  {
+    name: 'no preference',
+    weights: {crossDomainMs: 0},
+    spillMs: -1e6,
+    sees: all,
+  },
   {name: 'one ask', maxBusy: 1, sees: all},
   {name: 'four asks', maxBusy: 4, sees: all},
 ];
@@ -76,7 +81,7 @@
         },
         wasteWeight: shape.wasteWeight,
         maxQueued: 2_000,
-        guesses: GUESSES,
+        initialEstimates: GUESSES,
       }),
     );
     const published = new Map<string, Published>();
@@ -112,8 +117,8 @@
         shards: () =>
           views().filter(view => choiceCase.sees(view, ownFailureDomain)),
         weights: choiceCase.weights,
-        spillMs: choiceCase.spillMs,
-        maxBusy: choiceCase.maxBusy,
+        otherDomainScoreMs: choiceCase.spillMs,
+        maxBusyHomes: choiceCase.maxBusy,
       }),
     );
     const grantOwners = new Map<string, Parameters<ShardChoice['report']>[0]>();
@@ -158,10 +163,10 @@
       applyCacheEvents(engineId, events) {
         for (const home of homes) home.applyCacheEvents(engineId, events);
       },
-      engineGone(engineId) {
-        for (const home of homes) home.engineGone(engineId);
+      removeEngine(engineId) {
+        for (const home of homes) home.removeEngine(engineId);
       },
-      books: () => homes.flatMap(home => home.books()),
+      engineUsage: () => homes.flatMap(home => home.engineUsage()),
       stop() {
         for (const home of homes) home.stop();
       },
--- a/bench/policy/simulation.ts
+++ b/bench/policy/simulation.ts
@@ -8,7 +8,7 @@
   createVirtualClock,
   type VirtualClock,
 } from '../../src/core/virtual_clock.js';
-import type {EngineDescription} from '../../src/core/scheduling/engine_book.js';
+import type {EngineDescription} from '../../src/core/scheduling/engine_reservations.js';
 import type {
   Grant,
   GrantRefusal,
@@ -549,7 +549,7 @@
   plan.faults.schedule({clock, cluster, scheduler, random});
   function result(): RunResult {
     const openBooks = scheduler
-      .books()
+      .engineUsage()
       .filter(book => book.usedSlots > 0 || Math.abs(book.usedKvBytes) > 1);
     scheduler.stop();
     return metrics.result(nextId, live.size, openBooks.length, cluster);
--- a/bench/policy/takeover.ts
+++ b/bench/policy/takeover.ts
@@ -56,7 +56,7 @@
 ): SchedulerFactory {
   return (clock, random, shape) => {
     const make = (homeEpoch: number, rebuildMs: number) =>
-      homeFactory({promiseFromForecast: false}, {homeEpoch, rebuildMs})(
+      homeFactory({grantFromForecast: false}, {homeEpoch, rebuildMs})(
         clock,
         random,
         shape,
@@ -143,10 +143,10 @@
       applyCacheEvents(engineId, events) {
         for (const home of homes) home.applyCacheEvents(engineId, events);
       },
-      engineGone(engineId) {
-        for (const home of homes) home.engineGone(engineId);
+      removeEngine(engineId) {
+        for (const home of homes) home.removeEngine(engineId);
       },
-      books: () => homes.flatMap(home => home.books()),
+      engineUsage: () => homes.flatMap(home => home.engineUsage()),
       stop() {
         for (const home of homes) home.stop();
       },
--- a/bench/support/dispatcher_home.ts
+++ b/bench/support/dispatcher_home.ts
@@ -41,7 +41,7 @@
         targets: {ttftMs: 2_000, tokenIntervalMs: 200, waitMs: 2_500},
         wasteWeight: 0.5,
         maxQueued: 100,
-        guesses: {
+        initialEstimates: {
           prefillOverheadMs: 12,
           prefillMsPerToken: 0.5,
           answerTokens: 18,
@@ -80,7 +80,7 @@
       failures.set(address, count);
       if (count === FAILURES_UNTIL_GONE) {
         gone.add(address);
-        home.engineGone(engine.options.engineId);
+        home.removeEngine(engine.options.engineId);
       }
     }
     clock.setTimer(POLL_MS, () => void poll(address, engine));
@@ -97,7 +97,7 @@
       leaving.add(engineId);
       home.markLeaving(engineId);
     },
-    entryGone: entry => home.entryGone(entry),
+    entryGone: entry => home.releaseEntry(entry),
     moveHome() {
       home.stop();
       home = start();
@@ -105,7 +105,7 @@
       leaving.forEach(engineId => home.markLeaving(engineId));
     },
     openGrants: () =>
-      home.books().reduce((sum, book) => sum + book.usedSlots, 0),
+      home.engineUsage().reduce((sum, book) => sum + book.usedSlots, 0),
     lapsedGrants: () => 0,
   };
 }
--- a/bench/support/request_site.ts
+++ b/bench/support/request_site.ts
@@ -301,7 +301,7 @@
           after(GOSSIP_MS, () => {
             for (const other of entries) {
               if (other === from) continue;
-              other.shell.inside(() => other.quarantine.learn(fact));
+              other.shell.inside(() => other.quarantine.mergeFact(fact));
             }
           });
         },
--- a/bench/support/site_entry.ts
+++ b/bench/support/site_entry.ts
@@ -38,7 +38,7 @@
 } from '../../src/request/request_host.js';
 import {
   createRequestRunner,
-  type SweptRequestRunner,
+  type QueryableRequestRunner,
 } from '../../src/request/request_runner.js';
 import {createRetryBudget} from '../../src/request/retry_budget.js';
 import {createProcessShell, type ProcessShell} from './process_shell.js';
@@ -82,7 +82,7 @@
   readonly tag: string;
   readonly address: string;
   readonly shell: ProcessShell;
-  readonly runner: SweptRequestRunner;
+  readonly runner: QueryableRequestRunner;
   readonly kept: KeptAnswers;
   readonly quarantine: Quarantine;
   /** Leases that the process believes in. */
@@ -159,7 +159,7 @@
     shell.port(host.plainPort(target));
   const quarantine = createQuarantine({
     clock: shell.clock,
-    spread: fact => host.spread(entry, fact),
+    broadcast: fact => host.spread(entry, fact),
   });
   const kept = createKeptAnswers(
     {
--- a/src/core/request/journal_rows.ts
+++ b/src/core/request/journal_rows.ts
@@ -60,7 +60,7 @@
   return `journal_head/${partition}`;
 }
 
-export function inlineAnswer(answer: StoredAnswer): RowAnswer {
+export function toInlineAnswer(answer: StoredAnswer): RowAnswer {
   return {
     status: answer.status,
     headers: {...answer.headers},
--- a/src/core/request/model_runs.ts
+++ b/src/core/request/model_runs.ts
@@ -264,7 +264,7 @@
     refusal.reason === 'home-moved' || refusal.reason === 'unreachable';
   // A started stream waits for an engine that can resume it.
   const shouldRetry = isHomeLost || state.deliveredTokens > 0;
-  if (shouldRetry && failedGrantRequests < facts.policy.maxGrantAsks) {
+  if (shouldRetry && failedGrantRequests < facts.policy.maxGrantRequests) {
     return transitionTo(
       {...state, step: 'backing-off', failedGrantRequests},
       {kind: 'set-timer', timer: 'retry', delayMs: refusal.retryAfterMs},
--- a/src/core/request/model_types.ts
+++ b/src/core/request/model_types.ts
@@ -8,7 +8,7 @@
   /** Maximum runs of one request, including the first. */
   readonly maxAttempts: number;
   /** Maximum grant requests per run when the home is unreachable or moved. */
-  readonly maxGrantAsks: number;
+  readonly maxGrantRequests: number;
   readonly prefillTimeoutMs: number;
   readonly importTimeoutMs: number;
   /** Interval at which a running grant is renewed; otherwise it expires. */
--- a/src/core/request/plain_types.ts
+++ b/src/core/request/plain_types.ts
@@ -16,7 +16,7 @@
   /** How long a call is awaited for the journal after the caller is answered. */
   readonly lingerMs: number;
   /** Maximum intent requests when the journal partition has moved. */
-  readonly maxIntentAsks: number;
+  readonly maxIntentRequests: number;
   readonly defaultRetryAfterMs: number;
 }
 
--- a/src/core/request/single_run_machine.ts
+++ b/src/core/request/single_run_machine.ts
@@ -205,7 +205,7 @@
   refused(facts, state, outcome) {
     const movedPartitionRefusals = state.movedPartitionRefusals + 1;
     const isMoved = outcome.reason === 'not-owner';
-    if (isMoved && movedPartitionRefusals < facts.policy.maxIntentAsks) {
+    if (isMoved && movedPartitionRefusals < facts.policy.maxIntentRequests) {
       return transitionTo(
         {...state, step: 'waiting', movedPartitionRefusals},
         {kind: 'set-timer', timer: 'ask', delayMs: outcome.retryAfterMs},
--- a/src/core/scheduling/admission.ts
+++ b/src/core/scheduling/admission.ts
@@ -29,10 +29,10 @@
   for (const engine of pool.decode) {
     if (engine.isLeaving || engine.share <= 0) continue;
     const unavailableSlots = engine.description.slots - engine.slotLimit;
-    usedSlots += engine.book.usedSlots();
-    usedKvBytes += engine.book.usedKvBytes();
-    freeSlots += engine.book.freeSlots() - unavailableSlots;
-    freeKvBytes += Math.max(0, engine.book.freeKvBytes());
+    usedSlots += engine.reservations.usedSlots();
+    usedKvBytes += engine.reservations.usedKvBytes();
+    freeSlots += engine.reservations.freeSlots() - unavailableSlots;
+    freeKvBytes += Math.max(0, engine.reservations.freeKvBytes());
   }
   return {
     prefillShare,
--- a/src/core/scheduling/engine_health.ts
+++ b/src/core/scheduling/engine_health.ts
@@ -65,7 +65,7 @@
   /** Whether its samples are not representative of the pool. */
   isOutlier(engineId: string): boolean;
   /** Records a request to the engine; only relevant on probation. */
-  noteUse(engineId: string, nowMs: number): void;
+  recordUse(engineId: string, nowMs: number): void;
   /** Returns the usable share of the engine's capacity, 0 to 1. */
   share(engineId: string, nowMs: number): number;
   ejectedCount(nowMs: number): number;
@@ -183,7 +183,7 @@
       const record = records.get(engineId);
       return record !== undefined && (record.isOnProbation || isSlow(record));
     },
-    noteUse(engineId, nowMs) {
+    recordUse(engineId, nowMs) {
       const record = records.get(engineId);
       if (record) record.lastProbeMs = nowMs;
     },
--- a/src/core/scheduling/engine_pool.ts
+++ b/src/core/scheduling/engine_pool.ts
@@ -2,16 +2,16 @@
 
 import type {EngineRole} from '../../ports/engine.js';
 import {
-  createEngineBook,
-  type EngineBook,
+  createEngineReservations,
+  type EngineReservations,
   type EngineDescription,
-} from './engine_book.js';
+} from './engine_reservations.js';
 import {createLinkSchedule, type LinkSchedule} from './link_schedule.js';
 import {createPrefillBacklog, type PrefillBacklog} from './prefill_backlog.js';
 
 export interface PoolEngine {
   description: EngineDescription;
-  readonly book: EngineBook;
+  readonly reservations: EngineReservations;
   readonly link: LinkSchedule;
   readonly backlog: PrefillBacklog;
   isLeaving: boolean;
@@ -24,7 +24,7 @@
   /** Usable share of its speed; 0 if it must not receive new work. */
   share: number;
   /** Forecast of answers that end per millisecond. */
-  endsPerMs: number;
+  completionsPerMs: number;
 }
 
 /** Whether the engine may be used in new grants. */
@@ -48,7 +48,10 @@
 function createPoolEngine(description: EngineDescription): PoolEngine {
   return {
     description,
-    book: createEngineBook(description.slots, description.kvBytes),
+    reservations: createEngineReservations(
+      description.slots,
+      description.kvBytes,
+    ),
     link: createLinkSchedule(),
     backlog: createPrefillBacklog(),
     isLeaving: false,
@@ -56,7 +59,7 @@
     paceSlots: description.slots,
     slotLimit: description.slots,
     share: 1,
-    endsPerMs: 0,
+    completionsPerMs: 0,
   };
 }
 
--- a/src/core/scheduling/engine_book.ts
+++ b/src/core/scheduling/engine_reservations.ts
@@ -23,7 +23,7 @@
 const PEAK_BUCKET_MS = 1_000;
 const PEAK_BUCKETS = REPORT_LAG_BOUND_MS / PEAK_BUCKET_MS;
 
-export interface EngineBook {
+export interface EngineReservations {
   usedSlots(): number;
   usedKvBytes(): number;
   /** May be negative when slots were granted from a forecast. */
@@ -58,10 +58,10 @@
   };
 }
 
-export function createEngineBook(
+export function createEngineReservations(
   totalSlots: number,
   totalKvBytes: number,
-): EngineBook {
+): EngineReservations {
   const kvByGrant = new Map<string, number>();
   const slotPeak = createWindowMaximum();
   const kvPeak = createWindowMaximum();
--- a/src/core/scheduling/placement.ts
+++ b/src/core/scheduling/placement.ts
@@ -54,8 +54,8 @@
     hasEngine = true;
     const prefillMs = demand.prefillMsOn(engine);
     slowestMs = Math.max(slowestMs, prefillMs);
-    if (engine.book.freeSlots() < 1) continue;
-    if (engine.book.freeKvBytes() < demand.promptKvBytes) continue;
+    if (engine.reservations.freeSlots() < 1) continue;
+    if (engine.reservations.freeKvBytes() < demand.promptKvBytes) continue;
     const endMs = engine.backlog.freeAtMs(nowMs) + prefillMs / engine.share;
     if (endMs >= bestEndMs) continue;
     best = engine;
@@ -90,19 +90,19 @@
   policy: SchedulingPolicy,
   horizonMs: number,
 ): Room {
-  const {book, description} = engine;
+  const {reservations, description} = engine;
   const unavailableSlots = description.slots - engine.slotLimit;
-  const freeSlots = book.freeSlots() - unavailableSlots;
-  const freeKvBytes = book.freeKvBytes();
+  const freeSlots = reservations.freeSlots() - unavailableSlots;
+  const freeKvBytes = reservations.freeKvBytes();
   if (freeSlots >= 1 && freeKvBytes >= demand.decodeKvBytes) return 'free';
-  if (!policy.promiseFromForecast || engine.share < 1) return 'none';
-  const used = book.usedSlots();
+  if (!policy.grantFromForecast || engine.share < 1) return 'none';
+  const used = reservations.usedSlots();
   if (used === 0) return 'none';
   const missingSlots = 1 - freeSlots;
-  const meanKvBytes = book.usedKvBytes() / used;
+  const meanKvBytes = reservations.usedKvBytes() / used;
   const missingKv = (demand.decodeKvBytes - freeKvBytes) / meanKvBytes;
   const needed = Math.max(missingSlots, Math.ceil(missingKv));
-  const chance = poissonAtLeast(engine.endsPerMs * horizonMs, needed);
+  const chance = poissonAtLeast(engine.completionsPerMs * horizonMs, needed);
   return chance >= policy.forecastConfidence ? 'forecast' : 'none';
 }
 
@@ -122,7 +122,7 @@
     hasEngine = true;
     if (engine === excludedEngine) continue;
     if (getRoom(engine, demand, policy, horizonMs) !== 'none') return undefined;
-    const freeKvBytes = engine.book.freeKvBytes();
+    const freeKvBytes = engine.reservations.freeKvBytes();
     if (freeKvBytes <= mostFreeKvBytes) continue;
     mostFreeKvBytes = freeKvBytes;
     waitFor = engine;
@@ -174,10 +174,10 @@
       isLinkBlocked = true;
       continue;
     }
-    const {book, description} = engine;
+    const {reservations, description} = engine;
     const occupancy = Math.max(
-      book.usedSlots() / description.slots,
-      book.usedKvBytes() / description.kvBytes,
+      reservations.usedSlots() / description.slots,
+      reservations.usedKvBytes() / description.kvBytes,
     );
     const isCrossDomain =
       description.failureDomain !== source.description.failureDomain;
--- a/src/core/scheduling/policy.ts
+++ b/src/core/scheduling/policy.ts
@@ -8,7 +8,7 @@
   /** Let requests of an account below its share displace others. */
   readonly isFair: boolean;
   /** Grant slots that running answers are likely to free in time. */
-  readonly promiseFromForecast: boolean;
+  readonly grantFromForecast: boolean;
   /** Schedule transfers on the network links. */
   readonly scheduleLinks: boolean;
   readonly usePrefixCache: boolean;
@@ -45,7 +45,7 @@
     order: 'deadline',
     refuseEarly: true,
     isFair: true,
-    promiseFromForecast: wasteWeight <= MAX_FORECAST_WASTE_WEIGHT,
+    grantFromForecast: wasteWeight <= MAX_FORECAST_WASTE_WEIGHT,
     scheduleLinks: true,
     usePrefixCache: true,
     watchHealth: true,
--- a/src/core/scheduling/prefix_index.ts
+++ b/src/core/scheduling/prefix_index.ts
@@ -16,7 +16,7 @@
 export interface PrefixIndex {
   apply(events: readonly CacheEvent[]): void;
   /** Records that an engine has computed these sampled prefixes. */
-  noteComputed(engineId: string, sampled: readonly string[]): void;
+  recordComputed(engineId: string, sampled: readonly string[]): void;
   /**
    * Returns the tokens expected in the engine's cache, scaled by the accuracy
    * of earlier hints.
@@ -133,7 +133,7 @@
         handlers[event.kind](entries, event.prefixHashes);
       }
     },
-    noteComputed(engineId, sampled) {
+    recordComputed(engineId, sampled) {
       insert(getEntries(engineId), sampled);
     },
     expectedCachedTokens(engineId, sampled, blockTokens) {
--- a/src/core/scheduling/role_plan.ts
+++ b/src/core/scheduling/role_plan.ts
@@ -30,23 +30,23 @@
   /** Maximum utilization of the donating pool after the change. */
   readonly safeUse: number;
   /** How long a pool must be short before a change. */
-  readonly shortForMs: number;
+  readonly minShortageMs: number;
   /** Delay after a change until its effect is visible. */
   readonly restMs: number;
   readonly minPrefill: number;
   readonly minDecode: number;
   /** Maximum engines that change at once while the others serve requests. */
-  readonly mostAtOnce: number;
+  readonly maxChangesAtOnce: number;
 }
 
 export const DEFAULT_ROLE_PLAN: RolePlanOptions = {
   highUse: 0.95,
   safeUse: 0.85,
-  shortForMs: 60_000,
+  minShortageMs: 60_000,
   restMs: 300_000,
   minPrefill: 1,
   minDecode: 1,
-  mostAtOnce: 1,
+  maxChangesAtOnce: 1,
 };
 
 /** State kept between two planning steps. */
@@ -56,7 +56,7 @@
   readonly cooldownUntilMs: number;
 }
 
-export const FIRST_ROLE_PLAN_STATE: RolePlanState = {
+export const INITIAL_ROLE_PLAN_STATE: RolePlanState = {
   shortRole: undefined,
   shortSinceMs: 0,
   cooldownUntilMs: 0,
@@ -127,7 +127,7 @@
   const kept = Math.max(minDonors, Math.ceil(donorDemand / options.safeUse));
   const spare = donorCount - kept;
   const missing = Math.ceil(recipientDemand / options.safeUse) - recipientCount;
-  return Math.max(1, Math.min(spare, missing, options.mostAtOnce));
+  return Math.max(1, Math.min(spare, missing, options.maxChangesAtOnce));
 }
 
 /** Picks engines one by one, each time without those already picked. */
@@ -193,7 +193,7 @@
       changes: [],
     };
   }
-  if (nowMs - state.shortSinceMs < options.shortForMs) {
+  if (nowMs - state.shortSinceMs < options.minShortageMs) {
     return {state, changes: []};
   }
   const donors = shortRole === 'prefill' ? pools.decode : pools.prefill;
--- a/src/core/scheduling/service_model.ts
+++ b/src/core/scheduling/service_model.ts
@@ -8,7 +8,7 @@
 import {createLengthForecast, type LengthForecast} from './length_forecast.js';
 import {createPrefillModel, type PrefillModel} from './prefill_model.js';
 
-export interface ModelGuesses {
+export interface InitialEstimates {
   readonly prefillOverheadMs: number;
   readonly prefillMsPerToken: number;
   readonly kvBytesPerToken: number;
@@ -16,7 +16,7 @@
   readonly tokenIntervalMs: number;
 }
 
-export const DEFAULT_GUESSES: ModelGuesses = {
+export const DEFAULT_INITIAL_ESTIMATES: InitialEstimates = {
   prefillOverheadMs: 5,
   prefillMsPerToken: 0.05,
   kvBytesPerToken: 0,
@@ -39,11 +39,11 @@
   expectedTokens(request: GrantRequest): number;
   /** Returns the mean time that a decode slot is held, in milliseconds. */
   meanHoldMs(): number;
-  noteHold(holdMs: number): void;
+  recordHold(holdMs: number): void;
 }
 
 export function createServiceModel(
-  initialEstimates: ModelGuesses,
+  initialEstimates: InitialEstimates,
   pool: EnginePool,
 ): ServiceModel {
   const byClass: Readonly<Record<RequestClass, LengthForecast>> = {
@@ -93,7 +93,7 @@
       return Math.min(request.maxTokens, remainingTokens);
     },
     meanHoldMs: () => holdMs,
-    noteHold(sampleMs) {
+    recordHold(sampleMs) {
       holdMs += SMOOTHING * (limitSample(sampleMs, holdMs) - holdMs);
     },
   };
--- a/src/core/scheduling/shard_score.ts
+++ b/src/core/scheduling/shard_score.ts
@@ -8,7 +8,7 @@
   /** Age of the summary. */
   readonly ageMs: number;
   /** Own requests and grants not yet included in the summary. */
-  readonly ownUnseen: number;
+  readonly unreportedRequests: number;
   readonly isOwnDomain: boolean;
   readonly hasPrefix: boolean;
   /** The home recently did not answer. */
@@ -17,7 +17,7 @@
 
 export interface ShardWeights {
   /** Penalty of another failure domain for the round trip and link use. */
-  readonly awayMs: number;
+  readonly crossDomainMs: number;
   /** Time saved by a cached prefix. */
   readonly prefixMs: number;
   /** Wait per slot missing for the requests not yet in the summary. */
@@ -30,7 +30,7 @@
 }
 
 export const DEFAULT_SHARD_WEIGHTS: ShardWeights = {
-  awayMs: 6,
+  crossDomainMs: 6,
   prefixMs: 40,
   shortSlotMs: 50,
   suspectMs: 10_000,
@@ -45,14 +45,17 @@
 ): number {
   const isStale = figures.ageMs > weights.staleMs;
   const waitMs = isStale ? weights.unknownWaitMs : figures.waitMs;
-  const shortSlots = Math.max(0, figures.ownUnseen + 1 - figures.freeSlots);
+  const shortSlots = Math.max(
+    0,
+    figures.unreportedRequests + 1 - figures.freeSlots,
+  );
   const fullness =
     figures.totalSlots > 0 ? 1 - figures.freeSlots / figures.totalSlots : 1;
   return (
     waitMs +
     shortSlots * weights.shortSlotMs +
     fullness * weights.shortSlotMs +
-    (figures.isOwnDomain ? 0 : weights.awayMs) +
+    (figures.isOwnDomain ? 0 : weights.crossDomainMs) +
     (figures.isSuspect ? weights.suspectMs : 0) -
     (figures.hasPrefix ? weights.prefixMs : 0)
   );
--- a/src/core/upstream.ts
+++ b/src/core/upstream.ts
@@ -8,7 +8,7 @@
  * Maximum number of upstreams whose reported state a host keeps. The state
  * outlives their list entries, which may expire and return; ids are not reused.
  */
-export const MOST_REMEMBERED = 4_096;
+export const MAX_REMEMBERED_UPSTREAMS = 4_096;
 
 /** An upstream as it appears in the list. */
 export interface Upstream {
--- a/src/ports/relay.ts
+++ b/src/ports/relay.ts
@@ -188,7 +188,11 @@
 
 /** Gets the signals of each answer to a request of this host. */
 export interface UpstreamSignalListener {
-  heard(upstream: Upstream, signals: UpstreamSignals, sentAtMs: number): void;
+  onSignals(
+    upstream: Upstream,
+    signals: UpstreamSignals,
+    sentAtMs: number,
+  ): void;
 }
 
 export interface UpstreamPort {
--- a/src/relay/accounts/account_limiter.ts
+++ b/src/relay/accounts/account_limiter.ts
@@ -7,7 +7,7 @@
 import type {AccountQuota} from '../../core/routing_types.js';
 import type {Clock} from '../../ports/clock.js';
 import type {Random} from '../../ports/random.js';
-import type {AskClient} from '../fleet/ask_client.js';
+import type {PeerRequestClient} from '../fleet/peer_request_client.js';
 import type {QuotaReply, QuotaRequest} from './quota_messages.js';
 import {
   admissibleShare,
@@ -54,7 +54,7 @@
   readonly random: Random;
   readonly ledger: SpendingLedger;
   self(): HostIncarnation;
-  readonly client: Pick<AskClient<QuotaRequest, QuotaReply>, 'ask'>;
+  readonly client: Pick<PeerRequestClient<QuotaRequest, QuotaReply>, 'ask'>;
   /** Returns the host that owns the account's bucket, if one is known. */
   ownerOf(account: string): string | undefined;
   /** Returns whether this host receives the spending of all other hosts. */
--- a/src/relay/accounts/relay_accounts.ts
+++ b/src/relay/accounts/relay_accounts.ts
@@ -3,8 +3,11 @@
 import type {Clock} from '../../ports/clock.js';
 import type {Logger} from '../../ports/log.js';
 import type {Random} from '../../ports/random.js';
-import {createAskClient, FIRST_ASK_IDS} from '../fleet/ask_client.js';
-import {createAskDesk} from '../fleet/ask_desk.js';
+import {
+  createPeerRequestClient,
+  FIRST_ASK_ID_RANGE,
+} from '../fleet/peer_request_client.js';
+import {createPeerRequestServer} from '../fleet/peer_request_server.js';
 import {rankOwners} from '../fleet/owners.js';
 import type {Peer, Summary} from '../fleet/peer_datagrams.js';
 import type {RelayMetrics} from '../relay_metrics.js';
@@ -90,13 +93,13 @@
   const ownerOf = (account: string) =>
     rankOwners('quota', account, host.hostsWithAllSpending()).at(0);
 
-  const firstAskId = random.nextInt(FIRST_ASK_IDS);
-  const client = createAskClient<QuotaRequest, QuotaReply>({
+  const firstAskId = random.nextInt(FIRST_ASK_ID_RANGE);
+  const client = createPeerRequestClient<QuotaRequest, QuotaReply>({
     clock,
     firstAskId,
     tell,
   });
-  const server = createAskDesk<QuotaRequest, QuotaReply>({
+  const server = createPeerRequestServer<QuotaRequest, QuotaReply>({
     clock,
     decide: (fromHostId, request) =>
       handleQuotaRequest(ledger, fromHostId, request),
--- a/src/relay/answers/answer_collector.ts
+++ b/src/relay/answers/answer_collector.ts
@@ -32,7 +32,7 @@
   | {
       readonly kind: 'large';
       readonly answer: UpstreamAnswer;
-      readonly begun: PartialAnswer;
+      readonly partial: PartialAnswer;
     };
 
 export function collectAnswer(answer: UpstreamAnswer): Promise<Collected> {
@@ -51,7 +51,7 @@
         resolve({
           kind: 'large',
           answer,
-          begun: {
+          partial: {
             bytes: Buffer.concat(chunks),
             continueWith(sink) {
               next = sink;
--- a/src/relay/answers/answer_rules.ts
+++ b/src/relay/answers/answer_rules.ts
@@ -21,7 +21,7 @@
  * upstream may have run the request, an error that promises "not run" would be
  * false, even if the last attempt was refused or lost its connection.
  */
-export function toTrueError(
+export function toCallerError(
   error: RequestError,
   hasRun: boolean,
   isLate: boolean,
--- a/src/relay/backpressure/backpressure.ts
+++ b/src/relay/backpressure/backpressure.ts
@@ -4,8 +4,11 @@
 import type {Logger} from '../../ports/log.js';
 import type {Random} from '../../ports/random.js';
 import type {UpstreamSignalListener} from '../../ports/relay.js';
-import {createAskClient, FIRST_ASK_IDS} from '../fleet/ask_client.js';
-import {createAskDesk} from '../fleet/ask_desk.js';
+import {
+  createPeerRequestClient,
+  FIRST_ASK_ID_RANGE,
+} from '../fleet/peer_request_client.js';
+import {createPeerRequestServer} from '../fleet/peer_request_server.js';
 import {createOwnerRanking} from '../fleet/owners.js';
 import type {RelayMetrics} from '../relay_metrics.js';
 import type {UpstreamRegistry} from '../store/upstream_registry.js';
@@ -55,9 +58,9 @@
     isKnown: id => registry.get(id) !== undefined,
     onChange: host.onChange,
   });
-  const client = createAskClient<PermitRequest, PermitReply>({
+  const client = createPeerRequestClient<PermitRequest, PermitReply>({
     clock,
-    firstAskId: random.nextInt(FIRST_ASK_IDS),
+    firstAskId: random.nextInt(FIRST_ASK_ID_RANGE),
     tell: host.send,
   });
   const rests = createUpstreamRests({clock, log});
@@ -71,7 +74,7 @@
     client,
     owners,
   });
-  const server = createAskDesk<PermitRequest, PermitReply>({
+  const server = createPeerRequestServer<PermitRequest, PermitReply>({
     clock,
     decide: limitGate.handleRequest,
     tell: host.send,
@@ -82,7 +85,7 @@
     limits,
     owners,
     signals: {
-      heard({id}, signals, sentAtMs) {
+      onSignals({id}, signals, sentAtMs) {
         countSignals(metrics, signals);
         const {isLeaving, restMs} = signals;
         if (isLeaving) registry.markLeaving(id);
--- a/src/relay/backpressure/limit_gate.ts
+++ b/src/relay/backpressure/limit_gate.ts
@@ -7,9 +7,9 @@
  */
 
 import {createBoundedMap} from '../../core/bounded_map.js';
-import {MOST_REMEMBERED} from '../../core/upstream.js';
+import {MAX_REMEMBERED_UPSTREAMS} from '../../core/upstream.js';
 import type {Clock} from '../../ports/clock.js';
-import type {AskClient} from '../fleet/ask_client.js';
+import type {PeerRequestClient} from '../fleet/peer_request_client.js';
 import type {PermitReply, PermitRequest} from './permit_messages.js';
 import type {PermitSchedule} from './permit_schedule.js';
 import type {UpstreamLimits} from './upstream_limits.js';
@@ -45,7 +45,7 @@
   readonly hostId: string;
   readonly limits: UpstreamLimits;
   readonly schedule: PermitSchedule;
-  readonly client: Pick<AskClient<PermitRequest, PermitReply>, 'ask'>;
+  readonly client: Pick<PeerRequestClient<PermitRequest, PermitReply>, 'ask'>;
   /** Returns the owners of the upstream's limit, by descending priority. */
   owners(upstreamId: string): readonly string[];
 }
@@ -60,7 +60,7 @@
 
 export function createLimitGate(host: LimitGateHost): LimitGate {
   const {clock, hostId: ownId, limits, schedule} = host;
-  const blockedUntilMs = createBoundedMap<number>(MOST_REMEMBERED);
+  const blockedUntilMs = createBoundedMap<number>(MAX_REMEMBERED_UPSTREAMS);
   const ownerSkippedUntilMs = new Map<string, number>();
 
   const blockedForMs = (upstreamId: string) =>
--- a/src/relay/backpressure/permit_schedule.ts
+++ b/src/relay/backpressure/permit_schedule.ts
@@ -8,7 +8,7 @@
  */
 
 import {createBoundedMap} from '../../core/bounded_map.js';
-import {MOST_REMEMBERED} from '../../core/upstream.js';
+import {MAX_REMEMBERED_UPSTREAMS} from '../../core/upstream.js';
 import type {Clock} from '../../ports/clock.js';
 
 export interface PermitOptions {
@@ -43,7 +43,7 @@
 }): PermitSchedule {
   const {clock} = host;
   /** Due time of the latest permit, by upstream. */
-  const lastDueAtMs = createBoundedMap<number>(MOST_REMEMBERED);
+  const lastDueAtMs = createBoundedMap<number>(MAX_REMEMBERED_UPSTREAMS);
 
   return {
     take({upstream, limitPerS, mostWaitMs, isBackup}) {
--- a/src/relay/backpressure/upstream_limits.ts
+++ b/src/relay/backpressure/upstream_limits.ts
@@ -8,7 +8,7 @@
  */
 
 import {createBoundedMap} from '../../core/bounded_map.js';
-import {MOST_REMEMBERED} from '../../core/upstream.js';
+import {MAX_REMEMBERED_UPSTREAMS} from '../../core/upstream.js';
 import type {Clock} from '../../ports/clock.js';
 import type {Logger} from '../../ports/log.js';
 
@@ -82,7 +82,7 @@
 
 export function createUpstreamLimits(host: UpstreamLimitsHost): UpstreamLimits {
   const {clock, log} = host;
-  const limits = createBoundedMap<KnownLimit>(MOST_REMEMBERED);
+  const limits = createBoundedMap<KnownLimit>(MAX_REMEMBERED_UPSTREAMS);
 
   function set(upstreamId: string, next: KnownLimit): void {
     const before = limits.get(upstreamId);
--- a/src/relay/backpressure/upstream_rests.ts
+++ b/src/relay/backpressure/upstream_rests.ts
@@ -8,7 +8,7 @@
  */
 
 import {createBoundedMap} from '../../core/bounded_map.js';
-import {MOST_REMEMBERED} from '../../core/upstream.js';
+import {MAX_REMEMBERED_UPSTREAMS} from '../../core/upstream.js';
 import type {Clock} from '../../ports/clock.js';
 import type {Logger} from '../../ports/log.js';
 
@@ -25,7 +25,7 @@
 
 export function createUpstreamRests(host: UpstreamRestsHost): UpstreamRests {
   const {clock, log} = host;
-  const restUntilMs = createBoundedMap<number>(MOST_REMEMBERED);
+  const restUntilMs = createBoundedMap<number>(MAX_REMEMBERED_UPSTREAMS);
 
   const leftMs = (upstreamId: string) =>
     Math.max(0, (restUntilMs.get(upstreamId) ?? 0) - clock.nowMs());
--- a/src/relay/crash_watch.ts
+++ b/src/relay/crash_watch.ts
@@ -60,7 +60,7 @@
   ): Promise<void> {
     if (await upstreamPort.isReachable(upstream)) return;
     const fingerprint = fingerprintOf(request);
-    const verdict = quarantine.blame(fingerprint, upstream.id);
+    const verdict = quarantine.recordLoss(fingerprint, upstream.id);
     log.warn('Upstream became unreachable during a request.', {
       request: request.requestId,
       upstream: upstream.id,
@@ -87,7 +87,7 @@
     },
     facts: () => quarantine.facts().slice(-MAX_FACTS),
     applyFacts(facts) {
-      for (const fact of facts) quarantine.learn(fact);
+      for (const fact of facts) quarantine.mergeFact(fact);
     },
   };
 }
--- a/src/relay/fleet/coordinators.ts
+++ b/src/relay/fleet/coordinators.ts
@@ -24,7 +24,7 @@
 }
 
 /** Whether this number of hosts, this one included, forms a full mesh. */
-export function isMeshOf(hostCount: number): boolean {
+export function isMeshSize(hostCount: number): boolean {
   return hostCount <= MAX_MESH_HOSTS;
 }
 
--- a/src/relay/fleet/membership.ts
+++ b/src/relay/fleet/membership.ts
@@ -14,7 +14,11 @@
 
 import type {Clock} from '../../ports/clock.js';
 import type {Logger} from '../../ports/log.js';
-import {chooseCoordinators, createHostRanks, isMeshOf} from './coordinators.js';
+import {
+  chooseCoordinators,
+  createHostRanks,
+  isMeshSize,
+} from './coordinators.js';
 import {createReportedMembers, type MembersView} from './reported_members.js';
 import {createDirectPeers, type DirectPeer} from './direct_peers.js';
 import {createMemberLog} from './member_log.js';
@@ -185,7 +189,7 @@
     return coordinators;
   }
 
-  const isMesh = () => isMeshOf(live.count() + 1);
+  const isMesh = () => isMeshSize(live.count() + 1);
   const isCoordinator = () => !isMesh() && coordinatorIds().includes(ownId);
 
   /** The coordinator whose removals this host accepts. */
--- a/src/relay/fleet/peer_datagrams.ts
+++ b/src/relay/fleet/peer_datagrams.ts
@@ -9,8 +9,8 @@
 import type {QuotaMessage} from '../accounts/quota_messages.js';
 import type {SpendingRecord} from '../accounts/spending_ledger.js';
 import type {PlacementMessage} from '../placement/placement_messages.js';
-import type {FadingSums} from '../placement/pooled_means.js';
-import type {LearnedSums} from '../placement/shared_learning.js';
+import type {DecayingSums} from '../placement/pooled_means.js';
+import type {StatisticsSums} from '../placement/shared_statistics.js';
 import type {SlotMessage} from '../plain/slot_messages.js';
 import type {Waiting} from '../placement/wait_rules.js';
 import type {MembersView} from './reported_members.js';
@@ -36,7 +36,7 @@
   /** Engines that were ordered to change their role. */
   readonly changing: readonly string[];
   /** Statistics on the performance of engines. */
-  readonly learned: LearnedSums;
+  readonly learned: StatisticsSums;
   /** Requests that crashed engines. */
   readonly losses: readonly LossFact[];
   /** Limits set by upstreams; absent if there are none. */
@@ -140,7 +140,7 @@
   return typeof value === 'object' && value !== null;
 }
 
-function isSums(value: unknown): value is FadingSums {
+function isSums(value: unknown): value is DecayingSums {
   return isObject(value) && Array.isArray(value['sums']);
 }
 
--- a/src/relay/fleet/peer_exchange.ts
+++ b/src/relay/fleet/peer_exchange.ts
@@ -84,8 +84,8 @@
       log,
       self,
       onGone: host.onPeerGone,
-      onPeerSilent: host.onPeerUnheard,
-      onChange: host.onMembers,
+      onPeerSilent: host.onPeerSilent,
+      onChange: host.onMembersChange,
       onLossDetected: () => changed('all'),
       fetchMembers: host.fetchMembers,
     },
@@ -330,7 +330,12 @@
     if (!recordPeer(address, datagram)) return;
     if (isMesh()) probes.add(datagram.known);
     const heardAtMs = clock.nowMs();
-    host.onPeer({...datagram, hostId: from, peerAddress: address, heardAtMs});
+    host.onPeerState({
+      ...datagram,
+      hostId: from,
+      peerAddress: address,
+      heardAtMs,
+    });
     // The peer may not know this host yet.
     if (!wasKnown && isMesh()) changed();
     if (wants === 'state') createStateSender()(address);
@@ -371,7 +376,7 @@
       if (viewTimer) clock.clearTimer(viewTimer);
     },
     changed,
-    tell(hostId, message) {
+    sendMessage(hostId, message) {
       const member = membership.find(hostId);
       if (!member || isStopped) return;
       const datagram: MessageDatagram = {kind: 'letter', from: ownId, message};
@@ -380,7 +385,7 @@
     addAddresses: probes.add,
     alive: membership.list,
     members: () => [self(), ...membership.list()],
-    heard: membership.peerSyncStates,
+    peerSyncStates: membership.peerSyncStates,
     coordinatorIds: () => (isMesh() ? [] : membership.coordinatorIds()),
     isCoordinator,
     isFollowing: membership.isFollowing,
--- a/src/relay/fleet/peer_exchange_types.ts
+++ b/src/relay/fleet/peer_exchange_types.ts
@@ -36,7 +36,7 @@
   /** The summary a coordinator sends to all hosts; the load makes it large. */
   summary(hasLoad: boolean): Summary;
   /** A peer's state was received. */
-  onPeer(peer: Peer): void;
+  onPeerState(peer: Peer): void;
   /** A coordinator's summary was received. */
   onSummary(fromHostId: string, summary: Summary): void;
   onPeerGone(hostId: string): void;
@@ -44,9 +44,9 @@
    * The peer no longer sends to this host, so its last state is outdated. It
    * may be alive and still send to others.
    */
-  onPeerUnheard(hostId: string): void;
+  onPeerSilent(hostId: string): void;
   /** The list of live hosts, or a member's record, has changed. */
-  onMembers(): void;
+  onMembersChange(): void;
   /** Whether the peer is to receive each change of this host immediately. */
   isNear(hostId: string): boolean;
   /** Whether other hosts rely on this host's reads of the store. */
@@ -73,7 +73,7 @@
   /** Sends a change soon, without waiting for the next periodic datagram. */
   changed(reach?: ChangeReach): void;
   /** Sends a datagram to one peer, without a guarantee of delivery. */
-  tell(hostId: string, message: PeerMessage): void;
+  sendMessage(hostId: string, message: PeerMessage): void;
   /** Adds addresses to probe for hosts, for example from the registry. */
   addAddresses(addresses: readonly string[]): void;
   /** Live hosts except this one; the same array until something changes. */
@@ -81,7 +81,7 @@
   /** Live hosts including this one. */
   members(): readonly Member[];
   /** Live peers that send datagrams to this host. */
-  heard(): readonly PeerSyncState[];
+  peerSyncStates(): readonly PeerSyncState[];
   /** Coordinators in rank order; empty in a full mesh. */
   coordinatorIds(): readonly string[];
   /** Whether this host is a coordinator. */
--- a/src/relay/fleet/ask_client.ts
+++ b/src/relay/fleet/peer_request_client.ts
@@ -24,7 +24,7 @@
   tell(hostId: string, request: Request): void;
 }
 
-export interface AskClient<
+export interface PeerRequestClient<
   Request extends CorrelatedMessage,
   Answer extends CorrelatedMessage,
 > {
@@ -37,7 +37,7 @@
 }
 
 /** The first id of an incarnation is drawn at random from this many numbers. */
-export const FIRST_ASK_IDS = 2 ** 31;
+export const FIRST_ASK_ID_RANGE = 2 ** 31;
 /** An unanswered request is sent again after this. */
 const RETRY_INTERVAL_MS = 25;
 const MAX_ATTEMPTS = 3;
@@ -48,10 +48,10 @@
   timer?: TimerHandle;
 }
 
-export function createAskClient<
+export function createPeerRequestClient<
   Request extends CorrelatedMessage,
   Answer extends CorrelatedMessage,
->(host: PeerRequestClientHost<Request>): AskClient<Request, Answer> {
+>(host: PeerRequestClientHost<Request>): PeerRequestClient<Request, Answer> {
   const {clock} = host;
   const pending = new Map<number, PendingRequest<Answer>>();
   let nextAskId = host.firstAskId;
--- a/src/relay/fleet/ask_desk.ts
+++ b/src/relay/fleet/peer_request_server.ts
@@ -5,7 +5,7 @@
  */
 
 import type {Clock} from '../../ports/clock.js';
-import type {CorrelatedMessage} from './ask_client.js';
+import type {CorrelatedMessage} from './peer_request_client.js';
 
 export interface PeerRequestServerHost<
   Request extends CorrelatedMessage,
@@ -23,7 +23,7 @@
 /** A request repeated within this time gets the same answer. */
 const ANSWER_KEPT_MS = 1_000;
 
-export function createAskDesk<
+export function createPeerRequestServer<
   Request extends CorrelatedMessage,
   Answer extends CorrelatedMessage,
 >(host: PeerRequestServerHost<Request, Answer>): PeerRequestServer<Request> {
--- a/src/relay/fleet/peer_handover.ts
+++ b/src/relay/fleet/peer_sync.ts
@@ -15,7 +15,7 @@
 import type {Member} from './members.js';
 import type {PeerSyncState} from './peer_datagrams.js';
 import type {RoutingState} from '../routing_state.js';
-import type {SideHandler} from '../front/side_server.js';
+import type {AuxiliaryHandler} from '../front/auxiliary_server.js';
 import type {UpstreamSnapshot} from '../../core/upstream.js';
 import type {UpstreamRegistry} from '../store/upstream_registry.js';
 import type {StoreTime} from '../accounts/store_time.js';
@@ -35,7 +35,7 @@
   /** Age of this host's list of upstreams. */
   upstreamAgeMs(): number;
   /** A list of the given age was applied from a peer. */
-  onUpstreams(ageMs: number): void;
+  onUpstreamsFetched(ageMs: number): void;
 }
 
 export interface PeerSync {
@@ -44,7 +44,7 @@
   /** The live hosts known to the peer; undefined if it does not answer. */
   fetchMembers(from: Member): Promise<readonly Member[] | undefined>;
   /** Serves requests from peers. */
-  readonly handler: SideHandler;
+  readonly handler: AuxiliaryHandler;
 }
 
 const ROUTING_PATH = '/peer/routing';
@@ -70,7 +70,7 @@
   readonly storeNow?: StoreMoment;
 }
 
-export function createPeerHandover(host: PeerSyncHost): PeerSync {
+export function createPeerSync(host: PeerSyncHost): PeerSync {
   const {clock, log, exchange, routing, registry} = host;
   let timer: TimerHandle | undefined;
   let isStopped = false;
@@ -113,7 +113,7 @@
     if (isWaiting && routing.current()) return;
     const text = await fetch(newest, ROUTING_PATH);
     const offered = text && host.routingSource.decode(text);
-    if (offered) routing.offer(offered, 'peer');
+    if (offered) routing.applyIfNewer(offered, 'peer');
   }
 
   async function fetchUpstreams(): Promise<void> {
@@ -133,7 +133,7 @@
     if (!response) return;
     if (response.storeNow) host.storeTime.note(sentAt, response.storeNow);
     const isApplied = registry.apply(response.snapshot, 'peer');
-    if (isApplied) host.onUpstreams(response.ageMs);
+    if (isApplied) host.onUpstreamsFetched(response.ageMs);
   }
 
   function parseResponse<T>(text: string): T | undefined {
--- a/src/relay/front/side_server.ts
+++ b/src/relay/front/auxiliary_server.ts
@@ -3,26 +3,28 @@
 import http from 'node:http';
 import {listenOn} from '../../adapters/listen.js';
 
-export interface SideAnswer {
+export interface AuxiliaryAnswer {
   readonly status: number;
   readonly contentType?: string;
   readonly body?: string;
 }
 
 /** Returns undefined for a call that isn't served here. */
-export type SideHandler = (
+export type AuxiliaryHandler = (
   method: string,
   target: string,
-) => SideAnswer | undefined;
+) => AuxiliaryAnswer | undefined;
 
-export interface SideServer {
+export interface AuxiliaryServer {
   listen(address: string): Promise<void>;
   close(): void;
 }
 
-const NOT_FOUND: SideAnswer = {status: 404};
+const NOT_FOUND: AuxiliaryAnswer = {status: 404};
 
-export function createSideServer(handler: SideHandler): SideServer {
+export function createAuxiliaryServer(
+  handler: AuxiliaryHandler,
+): AuxiliaryServer {
   const server = http.createServer((message, response) => {
     message.resume();
     const answer =
--- a/src/relay/front/host_directory.ts
+++ b/src/relay/front/host_directory.ts
@@ -6,7 +6,7 @@
 import type {Random} from '../../ports/random.js';
 import type {Member} from '../fleet/members.js';
 
-export interface EntryAnswer {
+export interface EntryList {
   /** Each is `ip:port`; in no particular order. */
   readonly addresses: readonly string[];
   /** Time for which a caller may cache the answer. */
@@ -43,9 +43,7 @@
  * answer holds, it contains a random selection, so that all entries get
  * callers.
  */
-export function answerDirectory(
-  host: HostDirectoryHost,
-): EntryAnswer | undefined {
+export function listEntries(host: HostDirectoryHost): EntryList | undefined {
   const ready = host
     .peers()
     .filter(peer => peer.state === 'ready')
--- a/src/relay/placement/engine_choice.ts
+++ b/src/relay/placement/engine_choice.ts
@@ -6,7 +6,7 @@
 
 import type {EngineTraits} from '../../core/routing_types.js';
 import type {Random} from '../../ports/random.js';
-import type {EngineBooks} from './engine_books.js';
+import type {EngineLoads} from './engine_loads.js';
 import type {EngineCandidates} from './engine_candidates.js';
 import {
   countPrefillRoom,
@@ -23,7 +23,7 @@
 export interface EngineChoiceHost {
   readonly random: Random;
   readonly registry: UpstreamRegistry;
-  readonly books: EngineBooks;
+  readonly engineLoads: EngineLoads;
   readonly candidates: EngineCandidates;
   readonly groups: PlacementGroups;
   /** Prefill speed of an engine, averaged over all hosts. */
@@ -90,9 +90,9 @@
 const SAMPLED_ENGINES = 2;
 
 export function createEngineChoice(host: EngineChoiceHost): EngineChoice {
-  const {random, registry, books, candidates, groups} = host;
+  const {random, registry, engineLoads, candidates, groups} = host;
 
-  const isPreferred = ({id}: Upstream) => groups.isOwn(id);
+  const isPreferred = ({id}: Upstream) => groups.isPreferred(id);
   const maxBacklogTokens = () => MAX_PREFILL_BACKLOG_MS * host.tokensPerMs();
 
   /**
@@ -130,7 +130,7 @@
     engines: readonly Upstream[],
     decode: Upstream,
   ): Upstream | undefined {
-    const picked = pickPrefill(engines, books, decode);
+    const picked = pickPrefill(engines, engineLoads, decode);
     if (!picked || picked.backlogTokens > maxBacklogTokens()) {
       return undefined;
     }
@@ -165,10 +165,10 @@
     // the healthy engines are full makes callers wait or leave that it could
     // serve.
     const decode =
-      pickDecode(engines, books, traits, need) ??
+      pickDecode(engines, engineLoads, traits, need) ??
       pickDecode(
         candidates.decodeIncludingFailed(name).filter(isPreferred),
-        books,
+        engineLoads,
         traits,
         need,
       );
@@ -181,8 +181,8 @@
       // Leaves room for the requests ahead. Otherwise all hosts would take the
       // same room at the moment it becomes free.
       const room = Math.min(
-        countRoom(engines, books, traits, need),
-        countPrefillRoom(includingFailed, books, maxBacklogTokens()),
+        countRoom(engines, engineLoads, traits, need),
+        countPrefillRoom(includingFailed, engineLoads, maxBacklogTokens()),
       );
       if (room <= ahead) return undefined;
     }
@@ -201,7 +201,7 @@
       engine => !isPreferred(engine) && !host.hasWaiters(engine.id),
     );
     const spare = plannedTokens(need) * (OTHER_GROUP_FREE_FACTOR - 1);
-    const decode = pickDecode(sample(others), books, traits, need, spare);
+    const decode = pickDecode(sample(others), engineLoads, traits, need, spare);
     if (!decode) return undefined;
     const prefillEngines = candidates.prefill(name);
     return withPrefill(decode, sample(prefillEngines), []);
@@ -216,20 +216,20 @@
         .decodeWithRoom(name)
         .filter(({id}) => !avoid.has(id));
       const decode =
-        pickDecode(engines.filter(isPreferred), books, traits, need) ??
-        pickDecode(engines, books, traits, need);
+        pickDecode(engines.filter(isPreferred), engineLoads, traits, need) ??
+        pickDecode(engines, engineLoads, traits, need);
       if (!decode) return undefined;
       const prefillEngines = wantsPrefill
         ? preferredOf(candidates.prefill(name))
         : [];
-      const prefill = pickPrefill(prefillEngines, books, decode)?.engine;
+      const prefill = pickPrefill(prefillEngines, engineLoads, decode)?.engine;
       return {decode, prefill};
     },
     choosePrefill(service, decode, avoid) {
       const engines = candidates
         .prefill(service)
         .filter(({id}) => !avoid.has(id));
-      return pickPrefill(preferredOf(engines), books, decode)?.engine;
+      return pickPrefill(preferredOf(engines), engineLoads, decode)?.engine;
     },
     hasDecode: service =>
       registry.open(service).some(({role}) => role === 'decode'),
@@ -237,6 +237,6 @@
       registry
         .open(service)
         .filter(engine => engine.role === 'decode' && isPreferred(engine))
-        .reduce((sum, {id}) => sum + books.decodeLoad(id).runs, 0),
+        .reduce((sum, {id}) => sum + engineLoads.decodeLoad(id).runs, 0),
   };
 }
--- a/src/relay/placement/engine_books.ts
+++ b/src/relay/placement/engine_loads.ts
@@ -34,31 +34,31 @@
   outputTokens: number;
 }
 
-export interface EngineBooks {
+export interface EngineLoads {
   /**
    * Reserves memory for a run, which counts from now on with its whole prompt.
    */
   startRun(run: Omit<DecodeRun, 'outputTokens'>): DecodeRun;
-  grow(run: DecodeRun, outputTokens: number): void;
+  setOutputTokens(run: DecodeRun, outputTokens: number): void;
   endRun(run: DecodeRun): void;
   startPrefill(engineId: string, tokens: number): void;
   endPrefill(engineId: string, tokens: number): void;
   decodeLoad(engineId: string): DecodeLoad;
   prefillLoad(engineId: string): PrefillLoad;
   /** Load reserved by this host, to announce to the peers. */
-  own(): HostLoad;
+  ownLoad(): HostLoad;
   /**
    * Load reserved by all hosts, for hosts that do not receive the announcements
    * of the others.
    */
-  total(): HostLoad;
+  totalLoad(): HostLoad;
   /**
    * Engines in the last two announced loads. The hosts that use an engine must
    * also be told once this host has released it.
    */
   usedEngineIds(): readonly string[];
   /** Replaces the load of a peer; undefined removes it. */
-  setPeer(hostId: string, load: HostLoad | undefined): void;
+  setPeerLoad(hostId: string, load: HostLoad | undefined): void;
 }
 
 /**
@@ -85,7 +85,7 @@
   end: number;
 }
 
-export function createEngineBooks(): EngineBooks {
+export function createEngineLoads(): EngineLoads {
   const runs = new Map<string, Set<DecodeRun>>();
   const prefills = new Map<string, {prompts: number; tokens: number}>();
   const peers = createPeerLoads();
@@ -130,7 +130,7 @@
       runs.set(run.engineId, engineRuns);
       return run;
     },
-    grow(run, outputTokens) {
+    setOutputTokens(run, outputTokens) {
       run.outputTokens = outputTokens;
     },
     endRun(run) {
@@ -153,7 +153,7 @@
     },
     decodeLoad,
     prefillLoad,
-    total() {
+    totalLoad() {
       const named = [...runs.keys(), ...prefills.keys()];
       const load: MutableHostLoad = {decode: {}, prefill: {}};
       for (const engineId of new Set([...named, ...peers.engineIds()])) {
@@ -170,7 +170,7 @@
       }
       return load;
     },
-    own() {
+    ownLoad() {
       const decode: Record<string, readonly [number, number, number]> = {};
       for (const engineId of runs.keys()) {
         const load = ownDecodeLoad(engineId);
@@ -190,6 +190,6 @@
       return {decode, prefill};
     },
     usedEngineIds: () => usedIds,
-    setPeer: peers.set,
+    setPeerLoad: peers.set,
   };
 }
--- a/src/relay/placement/engine_scheduler.ts
+++ b/src/relay/placement/engine_scheduler.ts
@@ -10,12 +10,12 @@
 import type {Logger} from '../../ports/log.js';
 import type {Random} from '../../ports/random.js';
 import type {Cancellation} from '../../ports/relay.js';
-import type {DecodeRun, EngineBooks} from './engine_books.js';
+import type {DecodeRun, EngineLoads} from './engine_loads.js';
 import {createEngineCandidates} from './engine_candidates.js';
 import {createEngineChoice, type ChosenEngines} from './engine_choice.js';
 import type {PlacementGroups} from './placement_groups.js';
 import type {TokenNeed} from './placement_rules.js';
-import type {SharedLearning} from './shared_learning.js';
+import type {SharedStatistics} from './shared_statistics.js';
 import type {Upstream} from '../../core/upstream.js';
 import type {UpstreamRegistry} from '../store/upstream_registry.js';
 import {
@@ -31,8 +31,8 @@
   readonly random: Random;
   readonly log: Logger;
   readonly registry: UpstreamRegistry;
-  readonly books: EngineBooks;
-  readonly learning: SharedLearning;
+  readonly engineLoads: EngineLoads;
+  readonly statistics: SharedStatistics;
   /** Requests waiting at the peers, and engines that failed their requests. */
   readonly peers: PeerView;
   /** Which engines this host prefers. */
@@ -40,7 +40,7 @@
   /** This host ordered the engine to change its role. */
   isChanging(engineId: string): boolean;
   /** The engine takes no requests from this host for now. */
-  isHeld(engineId: string): boolean;
+  isPaused(engineId: string): boolean;
   /** Something that is announced to the peers has changed. */
   onChange(): void;
 }
@@ -54,7 +54,7 @@
   /** The engine was ordered to change its role and takes no new requests. */
   isChanging(engineId: string): boolean;
   /** Requests are waiting at hosts that prefer the engine. */
-  isAwaited(engineId: string): boolean;
+  hasWaiters(engineId: string): boolean;
 }
 
 export interface StreamNeed extends TokenNeed {
@@ -76,17 +76,17 @@
   readonly prefill?: Upstream;
   readonly run: DecodeRun;
   /** The reserved prefill, until it has ended. */
-  readonly prefillBooking: PrefillBooking;
+  readonly prefillReservation: PrefillReservation;
 }
 
 /** The reservation of one prompt in the backlog of an engine. */
-export interface PrefillBooking {
+export interface PrefillReservation {
   readonly engineId: string;
   /**
    * Whether the engine has had no other prompt since the reservation, as far as
    * is known.
    */
-  isAlone(): boolean;
+  isUncontended(): boolean;
   /** Tokens in the backlog of the engine, this prompt included. */
   backlogTokens(): number;
   /** Ends the reservation; later calls do nothing. */
@@ -126,27 +126,29 @@
     need: StreamNeed,
     decode: Upstream,
     avoid: ReadonlySet<string>,
-  ): {readonly engine: Upstream; readonly booking: PrefillBooking} | undefined;
+  ):
+    | {readonly engine: Upstream; readonly reservation: PrefillReservation}
+    | undefined;
   /** The run has ended and its memory is free. */
   release(run: DecodeRun): void;
-  noteFailure(engineId: string): void;
-  noteSuccess(engineId: string): void;
+  recordFailure(engineId: string): void;
+  recordSuccess(engineId: string): void;
   /**
    * The engine refused a request, usually for lack of room. It is excluded for
    * `forMs` if it gave a time.
    */
-  noteFull(engineId: string, forMs?: number): void;
+  recordRefusal(engineId: string, forMs?: number): void;
   /** The engine accepted a request. */
-  noteTaken(engineId: string): void;
+  recordAcceptance(engineId: string): void;
   /** The engine refused a request because it has the other role. */
-  noteOtherRole(engineId: string): void;
+  recordRoleMismatch(engineId: string): void;
   /** Engines whose actual role differs from the listed one. */
-  inOtherRole(): readonly string[];
+  roleMismatches(): readonly string[];
   /** Places the waiting requests that now find room. */
   processQueue(): void;
   /** Same, after a short delay that lets further updates arrive. */
-  pumpSoon(): void;
-  announcements(): readonly WaitingRequest[];
+  processQueueSoon(): void;
+  waitingRequests(): readonly WaitingRequest[];
   suspects(): readonly string[];
   /** Engines that refused requests of this host a moment ago. */
   full(): readonly string[];
@@ -173,23 +175,23 @@
 export function createEngineScheduler(
   host: EngineSchedulerHost,
 ): EngineScheduler {
-  const {clock, random, registry, books, peers, groups} = host;
+  const {clock, random, registry, engineLoads, peers, groups} = host;
   const candidates = createEngineCandidates({
     clock,
     registry,
     isSuspect: peers.isSuspect,
     isFullAtPeer: peers.isFull,
     isChanging: id => peers.isChanging(id) || host.isChanging(id),
-    isPaused: host.isHeld,
+    isPaused: host.isPaused,
   });
   const engines = createEngineChoice({
     random,
     registry,
-    books,
+    engineLoads,
     candidates,
     groups,
-    tokensPerMs: host.learning.tokensPerMs,
-    hasWaiters: peers.isAwaited,
+    tokensPerMs: host.statistics.tokensPerMs,
+    hasWaiters: peers.hasWaiters,
   });
   let waiters: Waiter[] = [];
   let timer: TimerHandle | undefined;
@@ -197,7 +199,7 @@
 
   function reserve(need: StreamNeed, chosen: ChosenEngines): Placement {
     const {decode, prefill} = chosen;
-    const {runs, tokensNow, tokensAtEnd} = books.decodeLoad(decode.id);
+    const {runs, tokensNow, tokensAtEnd} = engineLoads.decodeLoad(decode.id);
     host.log.info('Placed.', {
       request: need.requestId,
       upstream: decode.id,
@@ -211,31 +213,38 @@
       waitingHere: waiters.length,
     });
     candidates.recordPlacement(decode.id);
-    const run = books.startRun({
+    const run = engineLoads.startRun({
       engineId: decode.id,
       promptTokens: need.promptTokens,
       expectedOutputTokens: need.expectedOutputTokens,
     });
     const prefillEngine = prefill ?? decode;
-    const prefillBooking = reservePrefill(prefillEngine.id, need.promptTokens);
-    return {kind: 'placed', decode, prefill, run, prefillBooking};
+    const prefillReservation = reservePrefill(
+      prefillEngine.id,
+      need.promptTokens,
+    );
+    return {kind: 'placed', decode, prefill, run, prefillReservation};
   }
 
-  function reservePrefill(engineId: string, tokens: number): PrefillBooking {
-    const wasIdle = books.prefillLoad(engineId).prompts === 0;
+  function reservePrefill(
+    engineId: string,
+    tokens: number,
+  ): PrefillReservation {
+    const wasIdle = engineLoads.prefillLoad(engineId).prompts === 0;
     let isOpen = true;
-    books.startPrefill(engineId, tokens);
+    engineLoads.startPrefill(engineId, tokens);
     candidates.recordPlacement(engineId);
     return {
       engineId,
       // Peers may have placed prompts there at the same moment; their
       // announcements arrive later.
-      isAlone: () => wasIdle && books.prefillLoad(engineId).prompts === 1,
-      backlogTokens: () => books.prefillLoad(engineId).tokens,
+      isUncontended: () =>
+        wasIdle && engineLoads.prefillLoad(engineId).prompts === 1,
+      backlogTokens: () => engineLoads.prefillLoad(engineId).tokens,
       end() {
         if (!isOpen) return;
         isOpen = false;
-        books.endPrefill(engineId, tokens);
+        engineLoads.endPrefill(engineId, tokens);
         host.onChange();
       },
     };
@@ -283,7 +292,7 @@
   function forecastMs(need: StreamNeed): number {
     return forecastWaitMs(countAheadHere(need) + countAheadAtPeers(need), {
       runs: engines.countRuns(need.service.name),
-      meanRunMs: host.learning.meanRunMs(),
+      meanRunMs: host.statistics.meanRunMs(),
     });
   }
 
@@ -304,7 +313,7 @@
     }
   }
 
-  function pumpSoon(): void {
+  function processQueueSoon(): void {
     if (waiters.length === 0) return;
     soonTimer ??= clock.setTimer(QUEUE_CHECK_DELAY_MS, processQueue);
   }
@@ -389,33 +398,33 @@
       return (
         engine && {
           engine,
-          booking: reservePrefill(engine.id, need.promptTokens),
+          reservation: reservePrefill(engine.id, need.promptTokens),
         }
       );
     },
     release(run) {
-      books.endRun(run);
+      engineLoads.endRun(run);
       host.onChange();
       if (waiters.length > 0) processQueue();
     },
-    noteFailure(engineId) {
+    recordFailure(engineId) {
       candidates.recordFailure(engineId);
       host.onChange();
     },
-    noteSuccess: candidates.recordSuccess,
-    noteFull(engineId, forMs) {
+    recordSuccess: candidates.recordSuccess,
+    recordRefusal(engineId, forMs) {
       candidates.recordRefusal(engineId, forMs);
       host.onChange();
     },
-    noteTaken: candidates.recordAcceptance,
-    noteOtherRole(engineId) {
+    recordAcceptance: candidates.recordAcceptance,
+    recordRoleMismatch(engineId) {
       candidates.recordRoleMismatch(engineId);
       host.onChange();
     },
-    inOtherRole: candidates.roleMismatches,
+    roleMismatches: candidates.roleMismatches,
     processQueue,
-    pumpSoon,
-    announcements: () =>
+    processQueueSoon,
+    waitingRequests: () =>
       waiters.map(({need}) => ({
         service: need.service.name,
         waiting: need.waiting,
--- a/src/relay/placement/peer_view.ts
+++ b/src/relay/placement/peer_view.ts
@@ -1,7 +1,7 @@
 /** Collects what the peers announce, in the form that the scheduler needs. */
 
 import type {Clock} from '../../ports/clock.js';
-import type {EngineBooks} from './engine_books.js';
+import type {EngineLoads} from './engine_loads.js';
 import type {PeerView, WaitingRequest} from './engine_scheduler.js';
 import {
   toLocalWaiting,
@@ -15,11 +15,11 @@
 export interface MutablePeerView extends PeerView {
   applyPeer(peer: Peer): void;
   /** Applies a coordinator's summary of what all hosts reported. */
-  applySummary(fromHostId: string, findings: FoundUpstreams): void;
+  applySummary(fromHostId: string, findings: UpstreamIssues): void;
   /** Drops everything that the host announced. */
   forget(hostId: string): void;
   /** What this host and the peers that announce to it have reported. */
-  found(own: FoundUpstreams): FoundUpstreams;
+  found(own: UpstreamIssues): UpstreamIssues;
   /** This host's waiting requests, in the form announced to the peers. */
   toWaitingRecords(
     waiting: readonly WaitingRequest[],
@@ -27,13 +27,13 @@
 }
 
 /** Upstreams that hosts reported, by kind of report. */
-export type FoundUpstreams = Pick<
+export type UpstreamIssues = Pick<
   UpstreamFindings,
   'suspects' | 'unreachable' | 'changing'
 >;
 
 /** A peer that reports more upstreams than this is probably cut off itself. */
-export const MOST_SUSPECTS = 5;
+export const MAX_SUSPECTS = 5;
 
 /**
  * Limit of waiting requests in an announcement. The queue of a placer may hold
@@ -43,15 +43,15 @@
 
 export interface PeerViewHost {
   readonly clock: Clock;
-  readonly books: EngineBooks;
+  readonly engineLoads: EngineLoads;
   readonly groups: PlacementGroups;
 }
 
 export function createPeerView(host: PeerViewHost): MutablePeerView {
-  const {clock, books, groups} = host;
+  const {clock, engineLoads, groups} = host;
   const peers = new Map<string, Peer>();
   /** By coordinator; their summaries are nearly the same. */
-  const summaries = new Map<string, FoundUpstreams>();
+  const summaries = new Map<string, UpstreamIssues>();
   const suspects = createTally();
   const unreachable = createTally();
   const changing = createTally();
@@ -62,17 +62,17 @@
   const peersWithWaiting = new Map<string, Peer>();
 
   function countPeer(peer: Peer, sign: 1 | -1): void {
-    if (peer.suspects.length <= MOST_SUSPECTS) {
+    if (peer.suspects.length <= MAX_SUSPECTS) {
       suspects.add(peer.suspects, sign);
     }
-    if (peer.unreachable.length <= MOST_SUSPECTS) {
+    if (peer.unreachable.length <= MAX_SUSPECTS) {
       unreachable.add(peer.unreachable, sign);
     }
     changing.add(peer.changing, sign);
     full.add(peer.full, sign);
   }
 
-  function countSummary(summary: FoundUpstreams, sign: 1 | -1): void {
+  function countSummary(summary: UpstreamIssues, sign: 1 | -1): void {
     summarySuspects.add(summary.suspects, sign);
     summaryChanging.add(summary.changing, sign);
   }
@@ -91,7 +91,7 @@
       countPeer(peer, 1);
       if (peer.waiting.length > 0) peersWithWaiting.set(peer.hostId, peer);
       else peersWithWaiting.delete(peer.hostId);
-      books.setPeer(peer.hostId, peer.load);
+      engineLoads.setPeerLoad(peer.hostId, peer.load);
     },
     applySummary(fromHostId, {suspects: ids, unreachable, changing}) {
       forgetSummary(fromHostId);
@@ -105,7 +105,7 @@
       forgetSummary(hostId);
       peers.delete(hostId);
       peersWithWaiting.delete(hostId);
-      books.setPeer(hostId, undefined);
+      engineLoads.setPeerLoad(hostId, undefined);
     },
     found: own => ({
       suspects: suspects.with(own.suspects),
@@ -116,7 +116,7 @@
       const waiting: Waiting[] = [];
       for (const peer of peersWithWaiting.values()) {
         // Hosts of other groups wait for other engines.
-        if (!groups.isMate(peer.hostId)) continue;
+        if (!groups.isInOwnGroup(peer.hostId)) continue;
         for (const record of peer.waiting) {
           if (record.service !== service) continue;
           waiting.push(toLocalWaiting(record, peer.heardAtMs));
@@ -127,9 +127,9 @@
     isSuspect: id => suspects.has(id) || summarySuspects.has(id),
     isFull: full.has,
     isChanging: id => changing.has(id) || summaryChanging.has(id),
-    isAwaited(engineId) {
+    hasWaiters(engineId) {
       for (const hostId of peersWithWaiting.keys()) {
-        if (groups.isOwnOf(hostId, engineId)) return true;
+        if (groups.isPreferredBy(hostId, engineId)) return true;
       }
       return false;
     },
--- a/src/relay/placement/placement_client.ts
+++ b/src/relay/placement/placement_client.ts
@@ -21,7 +21,7 @@
 } from './engine_scheduler.js';
 import type {
   PlacementAnswer,
-  PlacementAsk,
+  PlacementRequest,
   PlacementMessage,
 } from './placement_messages.js';
 import type {UpstreamRegistry} from '../store/upstream_registry.js';
@@ -42,7 +42,7 @@
    * share the engines.
    */
   placers(): readonly string[];
-  tell(hostId: string, message: PlacementMessage): void;
+  send(hostId: string, message: PlacementMessage): void;
 }
 
 export interface PlacementClient {
@@ -107,7 +107,7 @@
   let lastPlacer: string | undefined;
   let nextAskId = host.firstAskId;
 
-  function toRequest(askId: number, need: StreamNeed): PlacementAsk {
+  function toRequest(askId: number, need: StreamNeed): PlacementRequest {
     const {waiting} = need;
     const nowMs = clock.nowMs();
     return {
@@ -150,15 +150,15 @@
         const isSilent =
           nowMs - request.heardAtMs >= SILENCE_TIMEOUT_MS + graceMs(request);
         if (isSilent || nowMs > need.waiting.giveUpAtMs + REFUSAL_MARGIN_MS) {
-          host.tell(placer, {kind: 'withdraw', askId});
+          host.send(placer, {kind: 'withdraw', askId});
           return finish('silent');
         }
-        host.tell(placer, toRequest(askId, need));
+        host.send(placer, toRequest(askId, need));
         timer = clock.setTimer(graceMs(request) + RESEND_MS, check);
       };
       pending.set(askId, request);
       cancellation.onCancel(() => {
-        if (pending.has(askId)) host.tell(placer, {kind: 'withdraw', askId});
+        if (pending.has(askId)) host.send(placer, {kind: 'withdraw', askId});
         finish({kind: 'cancelled'});
       });
       if (pending.has(askId)) check();
@@ -229,7 +229,7 @@
         // No request waits for this answer any more, so the placer can free the
         // room.
         if (answer.kind !== 'placed' || adoptedAtMs.has(answer.askId)) return;
-        host.tell(fromHostId, {kind: 'withdraw', askId: answer.askId});
+        host.send(fromHostId, {kind: 'withdraw', askId: answer.askId});
         return;
       }
       request.heardAtMs = clock.nowMs();
--- a/src/relay/placement/placement_groups.ts
+++ b/src/relay/placement/placement_groups.ts
@@ -17,7 +17,7 @@
  */
 
 import {hashText} from '../../core/hash_text.js';
-import {isMeshOf, rankHost} from '../fleet/coordinators.js';
+import {isMeshSize, rankHost} from '../fleet/coordinators.js';
 import type {UpstreamRole} from '../../core/upstream.js';
 
 /** An engine of one of the model services. */
@@ -61,13 +61,13 @@
    * Whether the peer needs this host's changes at once, because it decides
    * about an engine that this host uses.
    */
-  isNear(peerId: string): boolean;
+  isUpdatedAtOnce(peerId: string): boolean;
   /** Whether the peer prefers the same engines as this host. */
-  isMate(peerId: string): boolean;
+  isInOwnGroup(peerId: string): boolean;
   /** Whether this host prefers the engine over those of other groups. */
-  isOwn(engineId: string): boolean;
+  isPreferred(engineId: string): boolean;
   /** Whether the peer prefers the engine over those of other groups. */
-  isOwnOf(peerId: string, engineId: string): boolean;
+  isPreferredBy(peerId: string, engineId: string): boolean;
   /** The lists of hosts or engines have changed. */
   refresh(): void;
 }
@@ -187,7 +187,7 @@
   const groupCount = Math.ceil(members.length / MAX_HOSTS_PER_GROUP);
   const hostIds = members.map(({hostId}) => hostId);
   const hostGroups = assignToGroups(hostIds, groupCount);
-  const isSmall = isMeshOf(members.length);
+  const isSmall = isMeshSize(members.length);
   return {
     isSmall,
     groupCount,
@@ -222,7 +222,7 @@
     return hostGroup % engineGroup.groupCount === engineGroup.group;
   }
 
-  function isOwnOf(hostId: string, engineId: string): boolean {
+  function isPreferredBy(hostId: string, engineId: string): boolean {
     const {hostGroups, engineGroups} = grouping();
     const engineGroup = engineGroups.get(engineId);
     return (
@@ -258,20 +258,20 @@
     },
     groupCount: () => grouping().groupCount,
     placers: () => grouping().placers.get(ownGroup()) ?? [],
-    isNear(peerId) {
+    isUpdatedAtOnce(peerId) {
       const {isSmall, hostGroups} = grouping();
       if (isSmall) return true;
       const group = hostGroups.get(peerId);
       if (group === undefined || !isPlacerOf(peerId, group)) return false;
       if (group === ownGroup()) return true;
-      return host.usedEngineIds().some(id => isOwnOf(peerId, id));
+      return host.usedEngineIds().some(id => isPreferredBy(peerId, id));
     },
-    isMate(peerId) {
+    isInOwnGroup(peerId) {
       const {isSmall, hostGroups} = grouping();
       return isSmall || hostGroups.get(peerId) === ownGroup();
     },
-    isOwn: engineId => isOwnOf(host.hostId, engineId),
-    isOwnOf,
+    isPreferred: engineId => isPreferredBy(host.hostId, engineId),
+    isPreferredBy,
     refresh() {
       keepersByService.clear();
       current = undefined;
--- a/src/relay/placement/placement_messages.ts
+++ b/src/relay/placement/placement_messages.ts
@@ -4,7 +4,7 @@
  * Requests engines for a stream. Times are relative to when the message is
  * sent.
  */
-export interface PlacementAsk {
+export interface PlacementRequest {
   readonly kind: 'ask';
   /** Unique for each stream within one process of the requesting host. */
   readonly askId: number;
@@ -46,4 +46,4 @@
 }
 
 export type PlacementMessage =
-  PlacementAsk | PlacementAnswer | PlacementWithdrawal;
+  PlacementRequest | PlacementAnswer | PlacementWithdrawal;
--- a/src/relay/placement/placement_rules.ts
+++ b/src/relay/placement/placement_rules.ts
@@ -5,7 +5,7 @@
  */
 
 import type {EngineTraits} from '../../core/routing_types.js';
-import type {DecodeLoad, EngineBooks} from './engine_books.js';
+import type {DecodeLoad, EngineLoads} from './engine_loads.js';
 import type {Upstream} from '../../core/upstream.js';
 
 /** Tokens that a request needs on a decode engine. */
@@ -47,14 +47,14 @@
 /** How many such requests fit on these engines in total. */
 export function countRoom(
   engines: readonly Upstream[],
-  books: EngineBooks,
+  engineLoads: EngineLoads,
   traits: EngineTraits,
   need: TokenNeed,
 ): number {
   const each = Math.max(1, plannedTokens(need));
   let count = 0;
   for (const {id} of engines) {
-    const free = freeTokens(books.decodeLoad(id), traits);
+    const free = freeTokens(engineLoads.decodeLoad(id), traits);
     count += Math.max(0, Math.floor(free / each));
   }
   return count;
@@ -63,14 +63,14 @@
 /** How many prompts can join the backlogs before all of them are too long. */
 export function countPrefillRoom(
   engines: readonly Upstream[],
-  books: EngineBooks,
+  engineLoads: EngineLoads,
   maxBacklogTokens: number,
 ): number {
   // Without prefill engines the decode engines prefill the prompts.
   if (engines.length === 0) return Number.POSITIVE_INFINITY;
   let count = 0;
   for (const {id} of engines) {
-    const {tokens, prompts} = books.prefillLoad(id);
+    const {tokens, prompts} = engineLoads.prefillLoad(id);
     const meanTokens = prompts > 0 ? tokens / prompts : maxBacklogTokens / 4;
     const left = Math.max(0, maxBacklogTokens - tokens);
     count += Math.ceil(left / Math.max(1, meanTokens));
@@ -84,7 +84,7 @@
  */
 export function pickDecode(
   engines: readonly Upstream[],
-  books: EngineBooks,
+  engineLoads: EngineLoads,
   traits: EngineTraits,
   need: TokenNeed,
   spareTokens = 0,
@@ -92,7 +92,7 @@
   let best: Upstream | undefined;
   let bestFree = plannedTokens(need) + spareTokens;
   for (const engine of engines) {
-    const free = freeTokens(books.decodeLoad(engine.id), traits);
+    const free = freeTokens(engineLoads.decodeLoad(engine.id), traits);
     if (free < bestFree) continue;
     best = engine;
     bestFree = free;
@@ -103,13 +103,13 @@
 /** The prefill engine that will be done first, and its backlog in tokens. */
 export function pickPrefill(
   engines: readonly Upstream[],
-  books: EngineBooks,
+  engineLoads: EngineLoads,
   decode: Upstream,
 ): {readonly engine: Upstream; readonly backlogTokens: number} | undefined {
   let best: Upstream | undefined;
   let bestTokens = Number.POSITIVE_INFINITY;
   for (const engine of engines) {
-    const {tokens} = books.prefillLoad(engine.id);
+    const {tokens} = engineLoads.prefillLoad(engine.id);
     const isCrossDomain = engine.failureDomain !== decode.failureDomain;
     const cost = tokens + (isCrossDomain ? CROSS_DOMAIN_PREFILL_TOKENS : 0);
     if (cost >= bestTokens) continue;
--- a/src/relay/placement/placement_desk.ts
+++ b/src/relay/placement/placement_server.ts
@@ -20,29 +20,29 @@
 } from './engine_scheduler.js';
 import type {
   PlacementAnswer,
-  PlacementAsk,
+  PlacementRequest,
   PlacementMessage,
   PlacementWithdrawal,
 } from './placement_messages.js';
-import type {SharedLearning} from './shared_learning.js';
+import type {SharedStatistics} from './shared_statistics.js';
 
-export interface PlacementDeskHost {
+export interface PlacementServerHost {
   readonly clock: Clock;
   readonly scheduler: EngineScheduler;
-  readonly learning: SharedLearning;
+  readonly statistics: SharedStatistics;
   findService(name: string): Service | undefined;
-  tell(hostId: string, message: PlacementMessage): void;
+  send(hostId: string, message: PlacementMessage): void;
 }
 
-export interface PlacementDesk {
+export interface PlacementServer {
   receive(
     fromHostId: string,
-    message: PlacementAsk | PlacementWithdrawal,
+    message: PlacementRequest | PlacementWithdrawal,
   ): void;
   /**
    * The host has announced the placements of these requests in its own load.
    */
-  adopted(hostId: string, askIds: readonly number[]): void;
+  releaseAdopted(hostId: string, askIds: readonly number[]): void;
   /** The host died; its requests are dropped. */
   forget(hostId: string): void;
 }
@@ -60,7 +60,9 @@
   placement?: Placement;
 }
 
-export function createPlacementDesk(host: PlacementDeskHost): PlacementDesk {
+export function createPlacementServer(
+  host: PlacementServerHost,
+): PlacementServer {
   const {clock, scheduler} = host;
   const requestsByHost = new Map<string, Map<number, ServedRequest>>();
 
@@ -77,7 +79,7 @@
     const {placement} = entry;
     if (!placement) return;
     entry.placement = undefined;
-    placement.prefillBooking.end();
+    placement.prefillReservation.end();
     scheduler.release(placement.run);
   }
 
@@ -98,7 +100,7 @@
 
   async function serve(
     fromHostId: string,
-    request: PlacementAsk,
+    request: PlacementRequest,
   ): Promise<void> {
     const {askId} = request;
     const service = host.findService(request.service);
@@ -107,7 +109,7 @@
     if (!service) return;
     const nowMs = clock.nowMs();
     // The placer has the latest data on how long starts take.
-    const startMs = host.learning.meanStartMs();
+    const startMs = host.statistics.meanStartMs();
     const slackMs = request.startMs - startMs;
     const entry: ServedRequest = {
       cancellation: createCancellation(),
@@ -132,7 +134,7 @@
       entry.cancellation,
     );
     const queuedTimer = clock.setTimer(0, () =>
-      host.tell(fromHostId, entry.answer),
+      host.send(fromHostId, entry.answer),
     );
     const outcome = await placing;
     clock.clearTimer(queuedTimer);
@@ -142,7 +144,7 @@
       if (entry.cancellation.isCancelled) releasePlacement(entry);
       clock.setTimer(UNCONFIRMED_HOLD_MS, () => releasePlacement(entry));
     }
-    host.tell(fromHostId, entry.answer);
+    host.send(fromHostId, entry.answer);
     clock.setTimer(ANSWER_RETENTION_MS, () => entries.delete(askId));
   }
 
@@ -151,7 +153,7 @@
       const entry = requestsByHost.get(fromHostId)?.get(message.askId);
       switch (message.kind) {
         case 'ask':
-          if (entry) host.tell(fromHostId, entry.answer);
+          if (entry) host.send(fromHostId, entry.answer);
           else void serve(fromHostId, message);
           return;
         case 'withdraw':
@@ -161,7 +163,7 @@
           return;
       }
     },
-    adopted(hostId, askIds) {
+    releaseAdopted(hostId, askIds) {
       const entries = requestsByHost.get(hostId);
       if (!entries) return;
       for (const askId of askIds) {
--- a/src/relay/placement/pooled_means.ts
+++ b/src/relay/placement/pooled_means.ts
@@ -9,7 +9,7 @@
 /**
  * The observations of one host: their total weight, and the sum of each value.
  */
-export interface FadingSums {
+export interface DecayingSums {
   readonly weight: number;
   readonly sums: readonly number[];
 }
@@ -28,14 +28,14 @@
   add(values: readonly number[]): void;
   means(): readonly number[];
   /** This host's observations, to announce to the others. */
-  ownSums(): FadingSums;
+  ownSums(): DecayingSums;
   /** The observations of all hosts. */
-  totalSums(): FadingSums;
-  setPeer(hostId: string, sums: FadingSums): void;
+  totalSums(): DecayingSums;
+  setPeer(hostId: string, sums: DecayingSums): void;
   removePeer(hostId: string): void;
 }
 
-interface TimedSums extends FadingSums {
+interface TimedSums extends DecayingSums {
   readonly atMs: number;
 }
 
@@ -66,7 +66,7 @@
     };
   }
 
-  function addUp(): FadingSums {
+  function addUp(): DecayingSums {
     const all = [ownSums, ...peers.values()].map(decay);
     return {
       weight: all.reduce((sum, each) => sum + each.weight, 0),
@@ -76,7 +76,7 @@
     };
   }
 
-  const toRounded = ({weight, sums}: FadingSums): FadingSums => ({
+  const toRounded = ({weight, sums}: DecayingSums): DecayingSums => ({
     weight: round(weight),
     sums: sums.map(round),
   });
--- a/src/relay/placement/relay_placement.ts
+++ b/src/relay/placement/relay_placement.ts
@@ -6,24 +6,27 @@
 import type {Clock} from '../../ports/clock.js';
 import type {Logger} from '../../ports/log.js';
 import type {Random} from '../../ports/random.js';
-import {createEngineBooks, type EngineBooks} from './engine_books.js';
+import {createEngineLoads, type EngineLoads} from './engine_loads.js';
 import {
   createEngineScheduler,
   type EngineScheduler,
 } from './engine_scheduler.js';
-import {FIRST_ASK_IDS} from '../fleet/ask_client.js';
+import {FIRST_ASK_ID_RANGE} from '../fleet/peer_request_client.js';
 import type {Member} from '../fleet/members.js';
 import type {Peer, Summary, WaitingRecord} from '../fleet/peer_datagrams.js';
-import {createPeerView, type FoundUpstreams} from './peer_view.js';
+import {createPeerView, type UpstreamIssues} from './peer_view.js';
 import {
   createPlacementClient,
   type PlacementClient,
 } from './placement_client.js';
-import {createPlacementDesk} from './placement_desk.js';
+import {createPlacementServer} from './placement_server.js';
 import {createPlacementGroups} from './placement_groups.js';
 import type {PlacementMessage} from './placement_messages.js';
 import type {RoutingState} from '../routing_state.js';
-import {createSharedLearning, type SharedLearning} from './shared_learning.js';
+import {
+  createSharedStatistics,
+  type SharedStatistics,
+} from './shared_statistics.js';
 import type {UpstreamRegistry} from '../store/upstream_registry.js';
 
 export interface RelayPlacementHost {
@@ -40,18 +43,18 @@
   /** This host ordered the engine to change its role. */
   isChanging(engineId: string): boolean;
   /** The engine takes no requests from this host for now. */
-  isHeld(engineId: string): boolean;
-  tell(hostId: string, message: PlacementMessage): void;
+  isPaused(engineId: string): boolean;
+  send(hostId: string, message: PlacementMessage): void;
   /** Something that is announced to the peers has changed. */
   onChange(): void;
 }
 
 export interface RelayPlacement {
-  readonly books: EngineBooks;
-  readonly learning: SharedLearning;
+  readonly engineLoads: EngineLoads;
+  readonly statistics: SharedStatistics;
   readonly scheduler: EngineScheduler;
   readonly place: PlacementClient['place'];
-  isNear(hostId: string): boolean;
+  isUpdatedAtOnce(hostId: string): boolean;
   /**
    * The hosts that keep the slots of a plain service; empty where hosts are
    * few.
@@ -59,18 +62,18 @@
   keepers(service: string): readonly string[];
   groupCount(): number;
   receive(fromHostId: string, message: PlacementMessage): void;
-  heard(peer: Peer): void;
+  applyPeer(peer: Peer): void;
   /** Applies a coordinator's summary of what all hosts reported. */
-  told(fromHostId: string, summary: Summary): void;
-  gone(hostId: string): void;
+  applySummary(fromHostId: string, summary: Summary): void;
+  removeHost(hostId: string): void;
   /** The peer no longer announces to this host. */
-  unheard(hostId: string): void;
+  forgetPeer(hostId: string): void;
   /** What this host and the peers that announce to it have reported. */
-  found(own: FoundUpstreams): FoundUpstreams;
+  found(own: UpstreamIssues): UpstreamIssues;
   /** This host's state, the live hosts or the configuration have changed. */
   refresh(): void;
   /** The list of upstreams was read. */
-  upstreamsRead(): void;
+  onUpstreamsRead(): void;
   /** The requests waiting at this host, to announce to the peers. */
   waitingRecords(): readonly WaitingRecord[];
   adoptedAskIds(): readonly number[];
@@ -94,8 +97,8 @@
 
 export function createRelayPlacement(host: RelayPlacementHost): RelayPlacement {
   const {clock, random, createLogger, hostId, routing, registry} = host;
-  const books = createEngineBooks();
-  const learning = createSharedLearning({clock});
+  const engineLoads = createEngineLoads();
+  const statistics = createSharedStatistics({clock});
   const groups = createPlacementGroups({
     hostId,
     isReady: host.isReady,
@@ -108,38 +111,38 @@
       (routing.current()?.services ?? [])
         .filter(({engine}) => engine)
         .flatMap(({name}) => registry.open(name)),
-    usedEngineIds: books.usedEngineIds,
+    usedEngineIds: engineLoads.usedEngineIds,
   });
-  const view = createPeerView({clock, books, groups});
+  const view = createPeerView({clock, engineLoads, groups});
   const scheduler = createEngineScheduler({
     clock,
     random,
     log: createLogger('scheduler'),
     registry,
-    books,
-    learning,
+    engineLoads,
+    statistics,
     peers: view,
     groups,
     isChanging: host.isChanging,
-    isHeld: host.isHeld,
+    isPaused: host.isPaused,
     onChange: host.onChange,
   });
   const client = createPlacementClient({
     clock,
     log: createLogger('placement'),
     hostId,
-    firstAskId: random.nextInt(FIRST_ASK_IDS),
+    firstAskId: random.nextInt(FIRST_ASK_ID_RANGE),
     scheduler,
     registry,
     placers: groups.placers,
-    tell: host.tell,
+    send: host.send,
   });
-  const desk = createPlacementDesk({
+  const server = createPlacementServer({
     clock,
     scheduler,
-    learning,
+    statistics,
     findService: routing.service,
-    tell: host.tell,
+    send: host.send,
   });
   let lastDigest: number | undefined;
   let summaryLoadAtMs: number | undefined;
@@ -149,68 +152,68 @@
     return placers.length === 0 || placers.includes(hostId);
   }
 
-  function unheard(peerId: string): void {
+  function forgetPeer(peerId: string): void {
     view.forget(peerId);
-    learning.removePeer(peerId);
+    statistics.removePeer(peerId);
   }
 
   function dropStaleSummary(): void {
     if (summaryLoadAtMs === undefined) return;
     if (clock.nowMs() - summaryLoadAtMs < SUMMARY_LOAD_VALID_MS) return;
     summaryLoadAtMs = undefined;
-    books.setPeer(ALL_HOSTS, undefined);
-    learning.removePeer(ALL_HOSTS);
+    engineLoads.setPeerLoad(ALL_HOSTS, undefined);
+    statistics.removePeer(ALL_HOSTS);
   }
 
   return {
-    books,
-    learning,
+    engineLoads,
+    statistics,
     scheduler,
     place: client.place,
-    isNear: groups.isNear,
+    isUpdatedAtOnce: groups.isUpdatedAtOnce,
     keepers: groups.keepers,
     groupCount: groups.groupCount,
     receive(fromHostId, message) {
       if (message.kind === 'ask' || message.kind === 'withdraw') {
-        desk.receive(fromHostId, message);
+        server.receive(fromHostId, message);
       } else {
         client.receive(fromHostId, message);
       }
     },
-    heard(peer) {
+    applyPeer(peer) {
       dropStaleSummary();
       view.applyPeer(peer);
-      learning.setPeer(peer.hostId, peer.learned);
-      desk.adopted(peer.hostId, peer.adoptedAskIds);
+      statistics.setPeer(peer.hostId, peer.learned);
+      server.releaseAdopted(peer.hostId, peer.adoptedAskIds);
       // A placer receives announcements from many hosts and batches them; with
       // few hosts the queue is processed at once.
-      if (groups.placers().length > 0) scheduler.pumpSoon();
+      if (groups.placers().length > 0) scheduler.processQueueSoon();
       else scheduler.processQueue();
     },
-    told(fromHostId, summary) {
+    applySummary(fromHostId, summary) {
       view.applySummary(fromHostId, summary);
       // A host that chooses engines receives the loads directly.
       if (isPlacing() || !summary.load) return;
       summaryLoadAtMs = clock.nowMs();
-      books.setPeer(ALL_HOSTS, summary.load);
-      learning.setPeer(ALL_HOSTS, summary.learned);
+      engineLoads.setPeerLoad(ALL_HOSTS, summary.load);
+      statistics.setPeer(ALL_HOSTS, summary.learned);
     },
     found: view.found,
-    unheard,
-    gone(goneHostId) {
-      unheard(goneHostId);
-      desk.forget(goneHostId);
+    forgetPeer,
+    removeHost(goneHostId) {
+      forgetPeer(goneHostId);
+      server.forget(goneHostId);
       client.forget(goneHostId);
       scheduler.processQueue();
     },
     refresh: groups.refresh,
-    upstreamsRead() {
+    onUpstreamsRead() {
       // Most reads of the list change only heartbeats.
       if (registry.digest() !== lastDigest) groups.refresh();
       lastDigest = registry.digest();
       scheduler.processQueue();
     },
-    waitingRecords: () => view.toWaitingRecords(scheduler.announcements()),
+    waitingRecords: () => view.toWaitingRecords(scheduler.waitingRequests()),
     adoptedAskIds: client.adoptedAskIds,
     isPlacer: () => groups.placers()[0] === hostId,
     isPlacing,
--- a/src/relay/placement/shared_learning.ts
+++ b/src/relay/placement/shared_statistics.ts
@@ -4,12 +4,12 @@
 import {plannedTokens, USABLE_KV_SHARE} from './placement_rules.js';
 import {
   createPooledMeans,
-  type FadingSums,
+  type DecayingSums,
   type PooledMeans,
 } from './pooled_means.js';
 
 /** The observations of one host, as announced to its peers. */
-export type LearnedSums = Readonly<Record<StatisticKind, FadingSums>>;
+export type StatisticsSums = Readonly<Record<StatisticKind, DecayingSums>>;
 
 type StatisticKind = 'starts' | 'runs' | 'prefills';
 
@@ -22,25 +22,25 @@
   readonly kvTokens: number;
 }
 
-export interface SharedLearning {
+export interface SharedStatistics {
   /** Records the time from the placement of a stream to its first event. */
-  noteStart(durationMs: number): void;
+  recordStart(durationMs: number): void;
   /** Mean time from the placement of a stream to its first event. */
   meanStartMs(): number;
-  noteRun(run: FinishedRun): void;
+  recordRun(run: FinishedRun): void;
   meanRunMs(): number;
   /** Mean time of a whole decode engine that one run takes up. */
   meanDecodeMs(): number;
   meanPromptTokens(): number;
   /** Records a prefill on an engine that had no other prompt. */
-  notePrefill(tokens: number, durationMs: number): void;
+  recordPrefill(tokens: number, durationMs: number): void;
   tokensPerMs(): number;
-  own(): LearnedSums;
+  ownSums(): StatisticsSums;
   /**
    * The observations of all hosts, for those that do not receive them directly.
    */
-  total(): LearnedSums;
-  setPeer(hostId: string, sums: LearnedSums): void;
+  totalSums(): StatisticsSums;
+  setPeer(hostId: string, sums: StatisticsSums): void;
   removePeer(hostId: string): void;
 }
 
@@ -63,9 +63,9 @@
 const RUN_INITIAL_WEIGHT = 60;
 const PREFILL_INITIAL_WEIGHT = 3;
 
-export function createSharedLearning(host: {
+export function createSharedStatistics(host: {
   readonly clock: Clock;
-}): SharedLearning {
+}): SharedStatistics {
   const starts = createPooledMeans(host, {
     initialMeans: [INITIAL.startMs],
     initialWeight: START_INITIAL_WEIGHT,
@@ -91,9 +91,9 @@
   >;
 
   return {
-    noteStart: durationMs => starts.add([durationMs]),
+    recordStart: durationMs => starts.add([durationMs]),
     meanStartMs: () => starts.means()[0],
-    noteRun({promptTokens, outputTokens, durationMs, kvTokens}) {
+    recordRun({promptTokens, outputTokens, durationMs, kvTokens}) {
       // Counts memory as admission does. Computed from the mean memory that a
       // run holds, a decode engine seemed to fit a fifth more runs than it is
       // given.
@@ -105,16 +105,16 @@
     meanDecodeMs: () => runs.means()[0],
     meanPromptTokens: () => runs.means()[1],
     meanRunMs: () => runs.means()[2],
-    notePrefill(tokens, durationMs) {
+    recordPrefill(tokens, durationMs) {
       if (durationMs > 0 && tokens > 0) prefills.add([tokens / durationMs]);
     },
     tokensPerMs: () => prefills.means()[0],
-    own: () => ({
+    ownSums: () => ({
       starts: starts.ownSums(),
       runs: runs.ownSums(),
       prefills: prefills.ownSums(),
     }),
-    total: () => ({
+    totalSums: () => ({
       starts: starts.totalSums(),
       runs: runs.totalSums(),
       prefills: prefills.totalSums(),
--- a/src/relay/plain/plain_placement.ts
+++ b/src/relay/plain/plain_placement.ts
@@ -4,7 +4,7 @@
 import type {Logger} from '../../ports/log.js';
 import type {Random} from '../../ports/random.js';
 import type {PlainBalancer} from '../../scheduling/plain_balancer.js';
-import {FIRST_ASK_IDS} from '../fleet/ask_client.js';
+import {FIRST_ASK_ID_RANGE} from '../fleet/peer_request_client.js';
 import {createSlotClient, type SlotClient} from './slot_client.js';
 import {createSlotServer} from './slot_server.js';
 import type {SlotMessage} from './slot_messages.js';
@@ -24,15 +24,15 @@
   keepers(service: string): readonly string[];
   /** Number of hosts that keep slots of the same upstreams. */
   keeperCount(): number;
-  tell(hostId: string, message: SlotMessage): void;
+  send(hostId: string, message: SlotMessage): void;
 }
 
 export interface PlainPlacement {
   readonly slots: SlotClient;
   receive(fromHostId: string, message: SlotMessage): void;
-  gone(hostId: string): void;
+  removeHost(hostId: string): void;
   /** Calls that run or wait in the slots kept by this host. */
-  keptCount(): number;
+  openCallCount(): number;
 }
 
 export function createPlainPlacement(host: PlainPlacementHost): PlainPlacement {
@@ -41,7 +41,7 @@
   /** Delivers messages to this host itself without a datagram. */
   function send(toHostId: string, message: SlotMessage): void {
     if (toHostId === hostId) receive(hostId, message);
-    else host.tell(toHostId, message);
+    else host.send(toHostId, message);
   }
 
   const server = createSlotServer({
@@ -55,7 +55,7 @@
   const slots = createSlotClient({
     clock,
     log: host.log,
-    firstAskId: random.nextInt(FIRST_ASK_IDS),
+    firstAskId: random.nextInt(FIRST_ASK_ID_RANGE),
     registry,
     balancer,
     keepers: host.keepers,
@@ -77,10 +77,10 @@
   return {
     slots,
     receive,
-    gone(goneHostId) {
+    removeHost(goneHostId) {
       server.forget(goneHostId);
       slots.forget(goneHostId);
     },
-    keptCount: server.openCount,
+    openCallCount: server.openCount,
   };
 }
--- a/src/relay/plain/plain_relay.ts
+++ b/src/relay/plain/plain_relay.ts
@@ -20,7 +20,7 @@
   type CollectedAnswer,
 } from '../answers/answer_collector.js';
 import {deliverCollected, passThrough} from '../answers/answer_delivery.js';
-import {isGenuine, toTrueError} from '../answers/answer_rules.js';
+import {isGenuine, toCallerError} from '../answers/answer_rules.js';
 import {
   CONNECT_TIMEOUT_MS,
   leftMs,
@@ -43,7 +43,7 @@
    * How long the upstream takes no more calls from this host; 0 if it takes
    * them.
    */
-  heldMs(upstreamId: string): number;
+  pausedMs(upstreamId: string): number;
   /** An upstream failed while it ran the call. */
   onBroken(job: RelayJob, upstream: Upstream): void;
 }
@@ -132,7 +132,7 @@
   ): UpstreamSelection {
     const {name} = job.service;
     const {tried} = progress;
-    const paused = registry.open(name).filter(({id}) => host.heldMs(id) > 0);
+    const paused = registry.open(name).filter(({id}) => host.pausedMs(id) > 0);
     const avoid = new Set([...tried, ...paused.map(({id}) => id)]);
     if (slots.hasOther(name, avoid)) return {avoid, permitWaitMs: 0};
     const leftMs = Math.max(0, waiting.giveUpAtMs - clock.nowMs());
@@ -202,7 +202,8 @@
         progress.failure = toOverload(progress.failure, failure);
         return 'again';
       case 'rejected':
-        if (failure.reason === 'other-instance') registry.markGone(upstream.id);
+        if (failure.reason === 'other-instance')
+          registry.markReplaced(upstream.id);
         progress.failure = {
           kind: 'overloaded',
           detail: failure.detail,
@@ -246,7 +247,7 @@
     const collected = await collectAnswer(answer);
     if (collected.kind === 'large') {
       report('ok');
-      await passThrough(job, collected.answer, collected.begun);
+      await passThrough(job, collected.answer, collected.partial);
       return 'done';
     }
     return handleCollected(job, progress, collected, report);
@@ -284,8 +285,8 @@
     service: string,
   ): RequestError {
     if (error.retryAfterMs === undefined) return error;
-    const heldMs = registry.open(service).map(({id}) => host.heldMs(id));
-    const leastMs = heldMs.length > 0 ? Math.min(...heldMs) : 0;
+    const pausedMs = registry.open(service).map(({id}) => host.pausedMs(id));
+    const leastMs = pausedMs.length > 0 ? Math.min(...pausedMs) : 0;
     return {...error, retryAfterMs: Math.max(error.retryAfterMs, leastMs)};
   }
 
@@ -301,7 +302,7 @@
     }
     const hasRun = progress.ran.length > 0;
     const isLate = clock.nowMs() >= job.deadlineAtMs;
-    const error = toTrueError(progress.failure, hasRun, isLate);
+    const error = toCallerError(progress.failure, hasRun, isLate);
     caller.refuse(extendRetryAfter(error, job.service.name));
     return {
       end: hasRun ? 'failed' : 'refused',
--- a/src/relay/relay_adapters.ts
+++ b/src/relay/relay_adapters.ts
@@ -12,13 +12,13 @@
   UpstreamSource,
 } from '../ports/relay.js';
 import type {TablePort} from '../ports/table.js';
-import type {EntryAnswer} from './front/host_directory.js';
-import type {SideHandler} from './front/side_server.js';
+import type {EntryList} from './front/host_directory.js';
+import type {AuxiliaryHandler} from './front/auxiliary_server.js';
 
 /** State of this process that the platform and callers can query. */
-export interface SideFacts {
+export interface RelayStatus {
   isReady(): boolean;
-  entries(): EntryAnswer | undefined;
+  entries(): EntryList | undefined;
 }
 
 export interface RelayAdapters {
@@ -35,7 +35,7 @@
     /** Called with the era in each answer of the store. */
     readonly onEra: (era: number) => void;
   }): RelaySources;
-  createSideHandler(facts: SideFacts): SideHandler;
+  createAuxiliaryHandler(facts: RelayStatus): AuxiliaryHandler;
 }
 
 export interface RelaySources {
--- a/src/relay/relay_gauges.ts
+++ b/src/relay/relay_gauges.ts
@@ -46,7 +46,7 @@
   {
     name: 'peers_heard',
     help: 'Live hosts that this one hears itself.',
-    read: ({peers}) => peers.heard().length,
+    read: ({peers}) => peers.peerSyncStates().length,
   },
   {
     name: 'is_coordinator',
@@ -86,7 +86,7 @@
   {
     name: 'lists_left_out',
     help: 'Lists of upstreams that were read and not taken.',
-    read: ({registry}) => registry.leftOutCount(),
+    read: ({registry}) => registry.rejectedListCount(),
   },
   {
     name: 'upstream_list_age_ms',
@@ -101,7 +101,7 @@
   {
     name: 'kept_calls',
     help: 'Calls that run or wait by the word of this host.',
-    read: ({plainPlaces}) => plainPlaces.keptCount(),
+    read: ({plainPlaces}) => plainPlaces.openCallCount(),
   },
   {
     name: 'limited_upstreams',
@@ -111,7 +111,7 @@
   {
     name: 'waiting_streams',
     help: 'Streams that wait for engines.',
-    read: ({placement}) => placement.scheduler.announcements().length,
+    read: ({placement}) => placement.scheduler.waitingRequests().length,
   },
 ];
 
--- a/src/relay/relay_process.ts
+++ b/src/relay/relay_process.ts
@@ -19,14 +19,14 @@
 import {createGatedUpstreamPort} from './backpressure/gated_upstream_port.js';
 import {isPermitMessage} from './backpressure/permit_messages.js';
 import {createCrashWatch} from './crash_watch.js';
-import {answerDirectory} from './front/host_directory.js';
+import {listEntries} from './front/host_directory.js';
 import {createLeaving} from './front/leaving.js';
 import type {HostState} from './fleet/members.js';
 import {createPeerExchange} from './fleet/peer_exchange.js';
 import type {OwnState} from './fleet/peer_exchange_types.js';
 import type {UpstreamFindings} from './fleet/peer_datagrams.js';
-import {createPeerHandover} from './fleet/peer_handover.js';
-import {MOST_SUSPECTS, type FoundUpstreams} from './placement/peer_view.js';
+import {createPeerSync} from './fleet/peer_sync.js';
+import {MAX_SUSPECTS, type UpstreamIssues} from './placement/peer_view.js';
 import {createPlainPlacement} from './plain/plain_placement.js';
 import {createPlainRelay} from './plain/plain_relay.js';
 import {applyPlainUpstreams} from './plain/plain_upstreams.js';
@@ -40,7 +40,7 @@
 import {createRoleOrders} from './roles/role_orders.js';
 import type {RelaySettings} from './relay_settings.js';
 import {createRoutingState} from './routing_state.js';
-import {createSideServer} from './front/side_server.js';
+import {createAuxiliaryServer} from './front/auxiliary_server.js';
 import {isSlotMessage} from './plain/slot_messages.js';
 import {createStoreReaders} from './fleet/store_readers.js';
 import {createStoreEra} from './store/store_era.js';
@@ -119,7 +119,7 @@
         peers.isMesh()
           ? peers.members().map(({hostId}) => hostId)
           : peers.coordinatorIds(),
-      send: (hostId, message) => peers.tell(hostId, message),
+      send: (hostId, message) => peers.sendMessage(hostId, message),
     },
     settings,
   );
@@ -142,7 +142,7 @@
     // A leaving host owns no limits, not even for its own requests.
     hostIds: () =>
       leaving.isLeaving() ? remainingPeerIds() : remainingHostIds(),
-    send: (hostId, message) => peers.tell(hostId, message),
+    send: (hostId, message) => peers.sendMessage(hostId, message),
     onChange: () => peers.changed('coordinators'),
   });
   const readers = createStoreReaders({
@@ -165,7 +165,7 @@
       isReader: readers.isReader,
       isCandidate: readers.isCandidate,
       isPlacing: () => placement.isPlacing(),
-      isSought: () => peers.isMesh() || peers.isCoordinator(),
+      isRegistrationNeeded: () => peers.isMesh() || peers.isCoordinator(),
       isAlone: () => peers.alive().length === 0,
       onHosts: records =>
         peers.addAddresses(records.map(({peerAddress}) => peerAddress)),
@@ -182,12 +182,12 @@
     registry,
     isReady: () => hostState() === 'ready',
     isChanging: engineId => roleOrders.changing().includes(engineId),
-    isHeld: engineId => backpressure.gate.blockedForMs(engineId) > 0,
-    tell: (hostId, message) => peers.tell(hostId, message),
+    isPaused: engineId => backpressure.gate.blockedForMs(engineId) > 0,
+    send: (hostId, message) => peers.sendMessage(hostId, message),
     members: () => peers.alive(),
     onChange: () => peers.changed(),
   });
-  const {books, learning, scheduler} = placement;
+  const {engineLoads, statistics, scheduler} = placement;
   const peers = createPeerExchange(
     {
       clock,
@@ -195,10 +195,10 @@
       datagrams,
       ownState,
       announcement: () => ({
-        ...watch.knowledge(),
+        ...watch.syncState(),
         ...ownState(),
-        load: books.own(),
-        learned: learning.own(),
+        load: engineLoads.ownLoad(),
+        learned: statistics.ownSums(),
         waiting: placement.waitingRecords(),
         ...ownFindings(),
         full: scheduler.full(),
@@ -210,37 +210,37 @@
         aliveMs: accounts.aliveMs(),
       }),
       summary: hasLoad => ({
-        ...watch.knowledge(),
+        ...watch.syncState(),
         isStoreReachable: ownState().isStoreReachable,
         ...placement.found(ownFindings()),
-        learned: learning.total(),
+        learned: statistics.totalSums(),
         losses: crashes.facts(),
         limits: undefinedIfEmpty(backpressure.limits.found()),
         leaving: undefinedIfEmpty(registry.leaving('any')),
-        load: hasLoad ? books.total() : undefined,
+        load: hasLoad ? engineLoads.totalLoad() : undefined,
         accountLevels: accounts.nearLimit(),
       }),
-      onPeer(peer) {
-        placement.heard(peer);
+      onPeerState(peer) {
+        placement.applyPeer(peer);
         accounts.applyPeerState(peer);
-        watch.hear(peer);
+        watch.receivePeerState(peer);
         crashes.applyFacts(peer.losses);
         backpressure.limits.applyRecords(peer.limits ?? [], 'peer');
         markLeaving(peer);
-        if (peer.unreachable.length > MOST_SUSPECTS) return;
+        if (peer.unreachable.length > MAX_SUSPECTS) return;
         markUnreachable(peer.unreachable);
       },
       onSummary(fromHostId, summary) {
-        placement.told(fromHostId, summary);
+        placement.applySummary(fromHostId, summary);
         accounts.applySummary(fromHostId, summary);
-        watch.hear(summary);
+        watch.receivePeerState(summary);
         crashes.applyFacts(summary.losses);
         backpressure.limits.applyRecords(summary.limits ?? [], 'relayed');
         markLeaving(summary);
         markUnreachable(summary.unreachable);
       },
-      onMembers: placement.refresh,
-      isNear: placement.isNear,
+      onMembersChange: placement.refresh,
+      isNear: placement.isUpdatedAtOnce,
       isReader: readers.isReader,
       fetchMembers: from => handover.fetchMembers(from),
       onMessage(fromHostId, message) {
@@ -254,10 +254,10 @@
           placement.receive(fromHostId, message);
         }
       },
-      onPeerUnheard: placement.unheard,
+      onPeerSilent: placement.forgetPeer,
       onPeerGone(hostId) {
-        placement.gone(hostId);
-        plainPlaces.gone(hostId);
+        placement.removeHost(hostId);
+        plainPlaces.removeHost(hostId);
       },
     },
     {
@@ -270,7 +270,7 @@
     },
   );
 
-  const handover = createPeerHandover({
+  const handover = createPeerSync({
     clock,
     log: createLogger('handover'),
     exchange,
@@ -278,10 +278,10 @@
     routingSource: sources.routingSource,
     registry,
     storeTime: accounts.storeTime,
-    peers: peers.heard,
+    peers: peers.peerSyncStates,
     members: peers.members,
     upstreamAgeMs: () => watch.listAgeMs(),
-    onUpstreams: watch.noteHandedList,
+    onUpstreamsFetched: watch.noteFetchedList,
   });
 
   const balancer = createPlainBalancer(
@@ -297,7 +297,7 @@
     balancer,
     keepers: placement.keepers,
     keeperCount: placement.groupCount,
-    tell: (hostId, message) => peers.tell(hostId, message),
+    send: (hostId, message) => peers.sendMessage(hostId, message),
   });
   const retryBudget = createRetryBudget({
     burst() {
@@ -325,7 +325,7 @@
     upstreamPort,
     quarantine: createQuarantine({
       clock,
-      spread: () => peers.changed('coordinators'),
+      broadcast: () => peers.changed('coordinators'),
       // An upstream gets a new id at each start, so each id is lost only once.
       lossIdOf: upstreamId => upstreamId,
     }),
@@ -339,9 +339,9 @@
       log: createLogger('orders'),
       metrics,
       registry,
-      books,
+      engineLoads,
       upstreamPort,
-      learning,
+      statistics,
       lease: createOrdersLease(
         {
           clock,
@@ -383,15 +383,15 @@
     plain: createPlainRelay({
       ...shared,
       slots: plainPlaces.slots,
-      heldMs: gate.blockedForMs,
+      pausedMs: gate.blockedForMs,
     }),
     streams: createStreamRelay({
       ...shared,
       log: createLogger('stream'),
       scheduler,
       place: placement.place,
-      books,
-      learning,
+      engineLoads,
+      statistics,
     }),
     crashes,
     accounts: accounts.admission,
@@ -435,11 +435,11 @@
       .at(-1);
   }
 
-  function ownFindings(): FoundUpstreams {
+  function ownFindings(): UpstreamIssues {
     return {
       suspects: scheduler.suspects(),
       unreachable: registry.unreachable(),
-      changing: [...roleOrders.changing(), ...scheduler.inOtherRole()],
+      changing: [...roleOrders.changing(), ...scheduler.roleMismatches()],
     };
   }
 
@@ -458,10 +458,10 @@
     return isServing ? 'ready' : 'starting';
   }
 
-  const auxiliaryHandler = adapters.createSideHandler({
+  const auxiliaryHandler = adapters.createAuxiliaryHandler({
     isReady: () => hostState() === 'ready',
     entries: () =>
-      answerDirectory({
+      listEntries({
         callerAddress: settings.callerAddress,
         isReady: () => hostState() === 'ready',
         random,
@@ -480,7 +480,10 @@
         body: metrics.render(),
       }),
     },
-  ].map(({address, handler}) => ({address, server: createSideServer(handler)}));
+  ].map(({address, handler}) => ({
+    address,
+    server: createAuxiliaryServer(handler),
+  }));
 
   const applyUpstreams = () =>
     applyPlainUpstreams({routing, registry, balancer});
@@ -498,7 +501,7 @@
   let announcedLeaving = 0;
   registry.onChange(() => {
     applyUpstreams();
-    placement.upstreamsRead();
+    placement.onUpstreamsRead();
     const leavingCount = registry.leaving('self').length;
     if (leavingCount > announcedLeaving) peers.changed('coordinators');
     announcedLeaving = leavingCount;
--- a/src/relay/roles/role_demand.ts
+++ b/src/relay/roles/role_demand.ts
@@ -9,15 +9,15 @@
  */
 
 import type {RoleDemand} from '../../core/scheduling/role_plan.js';
-import type {SharedLearning} from '../placement/shared_learning.js';
+import type {SharedStatistics} from '../placement/shared_statistics.js';
 
 /** The best number of engines of each role, out of `engineCount`. */
 export function divideEngines(
-  learning: SharedLearning,
+  statistics: SharedStatistics,
   engineCount: number,
 ): RoleDemand {
-  const prefillMs = learning.meanPromptTokens() / learning.tokensPerMs();
-  const prefillShare = prefillMs / (prefillMs + learning.meanDecodeMs());
+  const prefillMs = statistics.meanPromptTokens() / statistics.tokensPerMs();
+  const prefillShare = prefillMs / (prefillMs + statistics.meanDecodeMs());
   const prefillEngines = engineCount * prefillShare;
   return {prefillEngines, decodeEngines: engineCount - prefillEngines};
 }
--- a/src/relay/roles/role_orders.ts
+++ b/src/relay/roles/role_orders.ts
@@ -10,7 +10,7 @@
 import type {Service} from '../../core/routing_types.js';
 import type {ShortLease, ShortTerm} from '../../coordination/short_lease.js';
 import {
-  FIRST_ROLE_PLAN_STATE,
+  INITIAL_ROLE_PLAN_STATE,
   planRoles,
   type PlannedEngine,
   type RoleChange,
@@ -20,10 +20,10 @@
 import type {Clock, TimerHandle} from '../../ports/clock.js';
 import type {Logger} from '../../ports/log.js';
 import type {EngineReport, UpstreamPort} from '../../ports/relay.js';
-import type {EngineBooks} from '../placement/engine_books.js';
+import type {EngineLoads} from '../placement/engine_loads.js';
 import type {RelayMetrics} from '../relay_metrics.js';
 import {divideEngines} from './role_demand.js';
-import type {SharedLearning} from '../placement/shared_learning.js';
+import type {SharedStatistics} from '../placement/shared_statistics.js';
 import type {Upstream} from '../../core/upstream.js';
 import type {UpstreamRegistry} from '../store/upstream_registry.js';
 
@@ -32,10 +32,10 @@
   readonly log: Logger;
   readonly metrics: RelayMetrics;
   readonly registry: UpstreamRegistry;
-  readonly books: EngineBooks;
+  readonly engineLoads: EngineLoads;
   readonly upstreamPort: UpstreamPort;
   readonly lease: ShortLease;
-  readonly learning: SharedLearning;
+  readonly statistics: SharedStatistics;
   services(): readonly Service[];
   /** Whether this host is the planner. */
   isPlanner(): boolean;
@@ -63,11 +63,11 @@
 const PLAN: RolePlanOptions = {
   highUse: 1.08,
   safeUse: 1,
-  shortForMs: 1_200,
+  minShortageMs: 1_200,
   restMs: 600,
   minPrefill: 1,
   minDecode: 1,
-  mostAtOnce: 1,
+  maxChangesAtOnce: 1,
 };
 /**
  * Share of the engines that may change at once. Changed one by one, many
@@ -110,7 +110,7 @@
   host: RoleOrdersHost,
   options: RoleOrdersOptions,
 ): RoleOrders {
-  const {clock, log, registry, books, upstreamPort, learning} = host;
+  const {clock, log, registry, engineLoads, upstreamPort, statistics} = host;
   const pendingOrders = new Map<string, SentOrder>();
   const plans = new Map<string, RolePlanState>();
   let timer: TimerHandle | undefined;
@@ -134,7 +134,7 @@
       role: pendingOrders.get(engine.id)?.role ?? engine.role ?? 'decode',
       failureDomain: engine.failureDomain,
       models: [],
-      usedSlots: books.decodeLoad(engine.id).runs,
+      usedSlots: engineLoads.decodeLoad(engine.id).runs,
       isLeaving: false,
       isChanging: false,
     };
@@ -143,13 +143,13 @@
   function plan(service: Service): readonly RoleChange[] {
     const engines = registry.open(service.name).filter(({role}) => role);
     const step = planRoles(
-      plans.get(service.name) ?? FIRST_ROLE_PLAN_STATE,
+      plans.get(service.name) ?? INITIAL_ROLE_PLAN_STATE,
       engines.map(toPlanned),
-      divideEngines(learning, engines.length),
+      divideEngines(statistics, engines.length),
       clock.nowMs(),
       {
         ...PLAN,
-        mostAtOnce: Math.max(
+        maxChangesAtOnce: Math.max(
           1,
           Math.floor(engines.length * CONCURRENT_CHANGE_SHARE),
         ),
@@ -171,10 +171,10 @@
     const prefillEngines = engines.filter(({role}) => role === 'prefill');
     if (prefillEngines.length === 0) return true;
     const tokens = prefillEngines.reduce(
-      (sum, {id}) => sum + books.prefillLoad(id).tokens,
+      (sum, {id}) => sum + engineLoads.prefillLoad(id).tokens,
       0,
     );
-    const waitMs = tokens / prefillEngines.length / learning.tokensPerMs();
+    const waitMs = tokens / prefillEngines.length / statistics.tokensPerMs();
     return waitMs > MIN_PROMPT_WAIT_MS;
   }
 
--- a/src/relay/routing_state.ts
+++ b/src/relay/routing_state.ts
@@ -26,7 +26,7 @@
   /**
    * Applies a version and returns true if it is newer than the one in force.
    */
-  offer(routing: Routing, origin: RoutingOrigin): boolean;
+  applyIfNewer(routing: Routing, origin: RoutingOrigin): boolean;
   /** Calls `listener` after each change. */
   onChange(listener: (routing: Routing) => void): void;
 }
@@ -43,7 +43,7 @@
     match: (host, path) => table.match(host, path),
     service: name => services.get(name),
     accounts: () => accounts,
-    offer(routing, origin) {
+    applyIfNewer(routing, origin) {
       if (current && routing.version <= current.version) return false;
       current = routing;
       table = createRouteTable(routing.routes);
--- a/src/relay/store/departures.ts
+++ b/src/relay/store/departures.ts
@@ -9,7 +9,7 @@
  */
 
 import {createBoundedMap} from '../../core/bounded_map.js';
-import {MOST_REMEMBERED} from '../../core/upstream.js';
+import {MAX_REMEMBERED_UPSTREAMS} from '../../core/upstream.js';
 import type {Clock} from '../../ports/clock.js';
 
 export interface Departures {
@@ -34,9 +34,9 @@
 export const HOLD_BACK_MS = 5_000;
 
 export function createDepartures(clock: Clock): Departures {
-  const drainedIds = createBoundedMap<true>(MOST_REMEMBERED);
+  const drainedIds = createBoundedMap<true>(MAX_REMEMBERED_UPSTREAMS);
   /** By id: the era in which the upstream left the list. */
-  const leftEras = createBoundedMap<number>(MOST_REMEMBERED);
+  const leftEras = createBoundedMap<number>(MAX_REMEMBERED_UPSTREAMS);
   /** By id: the end of the time it is held back. */
   const heldUntilMs = new Map<string, number>();
 
--- a/src/relay/store/host_registration.ts
+++ b/src/relay/store/host_registration.ts
@@ -17,7 +17,7 @@
   readonly metrics: RelayMetrics;
   readonly hostRegistry: HostRegistry;
   /** Whether other hosts need to find this host in the registry. */
-  isSought(): boolean;
+  isRegistrationNeeded(): boolean;
   /** Whether this host knows no other host. */
   isAlone(): boolean;
   onHosts(records: readonly HostRecord[]): void;
@@ -71,7 +71,7 @@
   }
 
   async function refresh(): Promise<void> {
-    const isSought = host.isSought();
+    const isSought = host.isRegistrationNeeded();
     if (!isSought && !host.isAlone()) return refreshAfter(REFRESH_INTERVAL_MS);
     if (isSought && !isRegistered && !isLeaving) await register();
     const read = await hostRegistry.readAll(READ_TIMEOUT_MS);
--- a/src/relay/store/store_watch.ts
+++ b/src/relay/store/store_watch.ts
@@ -56,7 +56,7 @@
   /** Whether this host chooses engines, for itself or for others. */
   isPlacing(): boolean;
   /** Whether other hosts need to find this host in the registry. */
-  isSought(): boolean;
+  isRegistrationNeeded(): boolean;
   /** Whether this host knows no other host. */
   isAlone(): boolean;
   onHosts(records: readonly HostRecord[]): void;
@@ -68,7 +68,7 @@
   unregister(): void;
   stop(): void;
   /** The state of this host's data from the store, for announcements. */
-  knowledge(): StoreSyncState;
+  syncState(): StoreSyncState;
   /** Time since the store confirmed the list, as known to this host. */
   listAgeMs(): number;
   /** Whether the last call to the store was answered. */
@@ -76,9 +76,9 @@
   /**
    * Processes a peer's announced state, which may confirm or outdate the data.
    */
-  hear(peer: StoreSyncState): void;
+  receivePeerState(peer: StoreSyncState): void;
   /** A list of the given age was applied from a peer. */
-  noteHandedList(ageMs: number): void;
+  noteFetchedList(ageMs: number): void;
 }
 
 /**
@@ -194,7 +194,7 @@
   function applyRouting(update: RoutingUpdate): void {
     cursor = update.cursor;
     routingConfirmation.noteRead(clock.nowMs());
-    if (update.routing) routing.offer(update.routing, 'store');
+    if (update.routing) routing.applyIfNewer(update.routing, 'store');
     readVersion = update.isUnreadable
       ? undefined
       : (update.routing?.version ?? readVersion);
@@ -417,7 +417,7 @@
     },
     isStoreReachable: () => !isStoreLost,
     listAgeMs: listConfirmation.ageMs,
-    knowledge: () => ({
+    syncState: () => ({
       routingVersion: routing.version(),
       routingAges: routingConfirmation.announcedAges(),
       routingCompleteUntil: freshness.completeUntil(),
@@ -427,10 +427,10 @@
       listDeltas: host.isReader() ? registry.deltas() : [],
       isStoreReachable: !isStoreLost,
     }),
-    hear(peer) {
+    receivePeerState(peer) {
       receiveRoutingState(peer);
       receiveUpstreamState(peer);
     },
-    noteHandedList: listConfirmation.noteFetched,
+    noteFetchedList: listConfirmation.noteFetched,
   };
 }
--- a/src/relay/store/upstream_registry.ts
+++ b/src/relay/store/upstream_registry.ts
@@ -26,7 +26,7 @@
 import {createDepartures, HOLD_BACK_MS} from './departures.js';
 import {createListOutage} from './list_outage.js';
 import {
-  MOST_REMEMBERED,
+  MAX_REMEMBERED_UPSTREAMS,
   type Upstream,
   type UpstreamSnapshot,
 } from '../../core/upstream.js';
@@ -58,7 +58,7 @@
   /** The store answered a read of the list, by this host or by a peer. */
   noteServed(atMs: number): void;
   /** Stops new work for the upstream: another instance has its address. */
-  markGone(id: string): void;
+  markReplaced(id: string): void;
   /**
    * The upstream announced that it is leaving. This holds until its instance
    * ends, whatever the list says: an entry may lapse and return as ready.
@@ -76,7 +76,7 @@
   /** Whether any upstream is currently excluded as unreachable. */
   hasUnreachable(): boolean;
   /** Number of lists rejected because they are older than the current one. */
-  leftOutCount(): number;
+  rejectedListCount(): number;
   /** Number of missing entries that are kept because they may return. */
   keptCount(): number;
   revision(): StoreRevision;
@@ -141,7 +141,9 @@
    * Upstreams that announced that they leave; kept after their entries are
    * removed.
    */
-  const leavingRecords = createBoundedMap<LeavingRecord>(MOST_REMEMBERED);
+  const leavingRecords = createBoundedMap<LeavingRecord>(
+    MAX_REMEMBERED_UPSTREAMS,
+  );
   /**
    * Unreachable upstreams, with their heartbeats as of when they were found.
    */
@@ -374,7 +376,7 @@
       outage.noteReadFailed(nowMs);
     },
     noteServed: outage.noteServed,
-    markGone(id) {
+    markReplaced(id) {
       if (!entries.has(id) || replacedIds.has(id)) return;
       replacedIds.add(id);
       log.info('Upstream excluded: another instance has its address.', {
@@ -416,7 +418,7 @@
       ...departures.heldBack(),
     ],
     hasUnreachable: () => unreachableRecords.size > 0,
-    leftOutCount: () => rejectedCount,
+    rejectedListCount: () => rejectedCount,
     keptCount: () => keptIds.size,
     revision: () => last?.revision ?? NO_REVISION,
     digest: () => digest,
--- a/src/relay/streams/engine_failures.ts
+++ b/src/relay/streams/engine_failures.ts
@@ -3,7 +3,7 @@
 import type {Clock} from '../../ports/clock.js';
 import type {Logger} from '../../ports/log.js';
 import type {SendFailure} from '../../ports/relay.js';
-import type {EngineBooks} from '../placement/engine_books.js';
+import type {EngineLoads} from '../placement/engine_loads.js';
 import type {EngineScheduler} from '../placement/engine_scheduler.js';
 import type {StreamState} from './stream_state.js';
 import type {Upstream} from '../../core/upstream.js';
@@ -13,7 +13,7 @@
   readonly clock: Clock;
   readonly log: Logger;
   readonly scheduler: EngineScheduler;
-  readonly books: EngineBooks;
+  readonly engineLoads: EngineLoads;
   readonly registry: UpstreamRegistry;
 }
 
@@ -42,12 +42,12 @@
     >
   >
 > = {
-  'other-instance': ({registry}, id) => registry.markGone(id),
-  'other-role': ({scheduler}, id) => scheduler.noteOtherRole(id),
+  'other-instance': ({registry}, id) => registry.markReplaced(id),
+  'other-role': ({scheduler}, id) => scheduler.recordRoleMismatch(id),
 };
 
 export function createEngineFailures(host: EngineFailuresHost): EngineFailures {
-  const {clock, log, scheduler, books, registry} = host;
+  const {clock, log, scheduler, engineLoads, registry} = host;
 
   /**
    * Marks the engine as full: the host that places requests for this host
@@ -57,7 +57,10 @@
     {id}: Upstream,
     {scope, retryAfterMs}: Extract<SendFailure, {kind: 'withheld'}>,
   ): void {
-    scheduler.noteFull(id, scope === 'all-hosts' ? retryAfterMs : undefined);
+    scheduler.recordRefusal(
+      id,
+      scope === 'all-hosts' ? retryAfterMs : undefined,
+    );
   }
 
   return {
@@ -67,7 +70,7 @@
           registry.markUnreachable(engine.id);
           return;
         case 'broken':
-          scheduler.noteFailure(engine.id);
+          scheduler.recordFailure(engine.id);
           return;
         case 'rejected':
           REJECTION_HANDLERS[failure.reason]?.(host, engine.id);
@@ -82,7 +85,7 @@
     logFailure(message, state, engine, failure) {
       if (failure.kind === 'cancelled') return;
       const {job, need, placement} = state;
-      const {runs, tokensNow, tokensAtEnd} = books.decodeLoad(
+      const {runs, tokensNow, tokensAtEnd} = engineLoads.decodeLoad(
         placement.decode.id,
       );
       log.info(message, {
@@ -95,7 +98,7 @@
         bookedRuns: runs,
         bookedTokens: Math.round(tokensNow),
         bookedAtEnd: Math.round(tokensAtEnd),
-        bookedPrefill: books.prefillLoad(engine.id).tokens,
+        bookedPrefill: engineLoads.prefillLoad(engine.id).tokens,
         ageMs: Math.round(clock.nowMs() - job.request.arrivedAtMs),
       });
     },
--- a/src/relay/streams/prefill_step.ts
+++ b/src/relay/streams/prefill_step.ts
@@ -11,10 +11,10 @@
 import type {EngineFailures} from './engine_failures.js';
 import type {
   EngineScheduler,
-  PrefillBooking,
+  PrefillReservation,
 } from '../placement/engine_scheduler.js';
 import {CONNECT_TIMEOUT_MS, leftMs} from '../relay_types.js';
-import type {SharedLearning} from '../placement/shared_learning.js';
+import type {SharedStatistics} from '../placement/shared_statistics.js';
 import type {StreamState} from './stream_state.js';
 import type {Upstream} from '../../core/upstream.js';
 
@@ -24,7 +24,7 @@
   readonly scheduler: EngineScheduler;
   readonly failures: EngineFailures;
   readonly calls: BudgetedCalls;
-  readonly learning: SharedLearning;
+  readonly statistics: SharedStatistics;
 }
 
 export type PrefillStepOutcome =
@@ -53,11 +53,12 @@
   async function prefillAt(
     state: StreamState,
     engine: Upstream,
-    booking: PrefillBooking,
+    reservation: PrefillReservation,
   ): Promise<PrefillStepOutcome | SendFailure> {
     const {job, need} = state;
     const startedAtMs = clock.nowMs();
-    const backlogMs = booking.backlogTokens() / host.learning.tokensPerMs();
+    const backlogMs =
+      reservation.backlogTokens() / host.statistics.tokensPerMs();
     const options: SendOptions = {
       upstream: engine,
       leftMs: leftMs(job.deadlineAtMs, startedAtMs),
@@ -68,20 +69,20 @@
     const outcome = await calls.prefill(state, () =>
       upstreamPort.prefill(job.request, options, job.cancellation),
     );
-    const wasAlone = booking.isAlone();
-    booking.end();
+    const wasAlone = reservation.isUncontended();
+    reservation.end();
     if (outcome.kind === 'no-retries') return outcome;
-    if (outcome.kind === 'rejected') scheduler.noteFull(engine.id);
+    if (outcome.kind === 'rejected') scheduler.recordRefusal(engine.id);
     if (outcome.kind !== 'prefilled') {
       failures.record(engine, outcome);
       failures.logFailure('Prefill failed.', state, engine, outcome);
       return outcome;
     }
-    scheduler.noteSuccess(engine.id);
-    scheduler.noteTaken(engine.id);
+    scheduler.recordSuccess(engine.id);
+    scheduler.recordAcceptance(engine.id);
     if (wasAlone) {
       const durationMs = clock.nowMs() - startedAtMs;
-      host.learning.notePrefill(need.promptTokens, durationMs);
+      host.statistics.recordPrefill(need.promptTokens, durationMs);
     }
     const {handle} = outcome;
     const {id: engineId, address} = engine;
@@ -93,9 +94,9 @@
       const {job, need, placement} = state;
       const tried = new Set<string>();
       let engine = placement.prefill;
-      let booking = placement.prefillBooking;
+      let reservation = placement.prefillReservation;
       while (engine) {
-        const end = await prefillAt(state, engine, booking);
+        const end = await prefillAt(state, engine, reservation);
         if (end.kind === 'read' || end.kind === 'no-retries') return end;
         tried.add(engine.id);
         // An engine that is booked below must be called: a booking that is
@@ -103,7 +104,7 @@
         if (job.cancellation.isCancelled || tried.size >= MAX_ATTEMPTS) break;
         const next = scheduler.prefillAgain(need, placement.decode, tried);
         if (!next) break;
-        ({engine, booking} = next);
+        ({engine, reservation} = next);
       }
       return {kind: 'not-read'};
     },
--- a/src/relay/streams/stream_relay.ts
+++ b/src/relay/streams/stream_relay.ts
@@ -16,7 +16,7 @@
 } from '../../ports/relay.js';
 import type {RetryBudget} from '../../request/retry_budget.js';
 import {passThrough} from '../answers/answer_delivery.js';
-import {toTrueError} from '../answers/answer_rules.js';
+import {toCallerError} from '../answers/answer_rules.js';
 import {createBudgetedCalls} from './budgeted_calls.js';
 import {createEngineFailures} from './engine_failures.js';
 import type {
@@ -24,8 +24,8 @@
   PlacementOutcome,
   StreamNeed,
 } from '../placement/engine_scheduler.js';
-import type {EngineBooks} from '../placement/engine_books.js';
-import type {SharedLearning} from '../placement/shared_learning.js';
+import type {EngineLoads} from '../placement/engine_loads.js';
+import type {SharedStatistics} from '../placement/shared_statistics.js';
 import {createOutputForecast} from './output_forecast.js';
 import {leftMs, type JobOutcome, type RelayJob} from '../relay_types.js';
 import {relayEvents, type StreamEnd} from './stream_events.js';
@@ -45,10 +45,10 @@
     need: StreamNeed,
     cancellation: Cancellation,
   ): Promise<PlacementOutcome>;
-  readonly books: EngineBooks;
+  readonly engineLoads: EngineLoads;
   readonly registry: UpstreamRegistry;
   readonly retryBudget: RetryBudget;
-  readonly learning: SharedLearning;
+  readonly statistics: SharedStatistics;
   /** Called when a run breaks off. */
   onBroken(job: RelayJob, upstream: Upstream): void;
 }
@@ -60,7 +60,7 @@
 const STATUS_OK = 200;
 
 export function createStreamRelay(host: StreamRelayHost): StreamRelay {
-  const {clock, scheduler, books, retryBudget} = host;
+  const {clock, scheduler, engineLoads, retryBudget} = host;
   const forecast = createOutputForecast();
   const failures = createEngineFailures(host);
   const calls = createBudgetedCalls(retryBudget);
@@ -73,7 +73,7 @@
 
   function toNeed(job: RelayJob): StreamNeed {
     const {request, route, service, deadlineAtMs} = job;
-    const startMs = host.learning.meanStartMs();
+    const startMs = host.statistics.meanStartMs();
     return {
       requestId: request.requestId,
       service,
@@ -111,8 +111,11 @@
           state.events++;
           eventsOfRun++;
           state.lastEventId = event.id ?? state.lastEventId;
-          books.grow(placement.run, eventsOfRun * tokensPerEvent);
-          placement.prefillBooking.end();
+          engineLoads.setOutputTokens(
+            placement.run,
+            eventsOfRun * tokensPerEvent,
+          );
+          placement.prefillReservation.end();
           if (state.firstByteAtMs !== undefined) return;
           state.firstByteAtMs = clock.nowMs();
         },
@@ -134,7 +137,7 @@
     state.source = undefined;
     const outputTokens = run.outputTokens;
     if (!placeElsewhere(state)) return false;
-    books.grow(state.placement.run, outputTokens);
+    engineLoads.setOutputTokens(state.placement.run, outputTokens);
     return true;
   }
 
@@ -147,7 +150,7 @@
     }
     const isLate = clock.nowMs() >= state.job.deadlineAtMs;
     const hasRun = state.ran.length > 0;
-    caller.refuse(toTrueError(error, hasRun, isLate));
+    caller.refuse(toCallerError(error, hasRun, isLate));
     return {end: hasRun ? 'failed' : 'refused', reason, upstreams: state.ran};
   }
 
@@ -175,16 +178,16 @@
       }
       const end = await relay(state, answer);
       if (state.firstByteAtMs !== undefined && state.ran.length === 1) {
-        host.learning.noteStart(state.firstByteAtMs - placedAtMs);
+        host.statistics.recordStart(state.firstByteAtMs - placedAtMs);
       }
       switch (end.kind) {
         case 'whole':
-          scheduler.noteSuccess(state.placement.decode.id);
+          scheduler.recordSuccess(state.placement.decode.id);
           forecast.recordOutput(
             job.service.name,
             state.events * (job.service.engine?.tokensPerEvent ?? 1),
           );
-          host.learning.noteRun({
+          host.statistics.recordRun({
             promptTokens: state.need.promptTokens,
             outputTokens: state.placement.run.outputTokens,
             durationMs: clock.nowMs() - placedAtMs,
@@ -205,7 +208,7 @@
         case 'timeout':
           return refuse(state, {kind: 'deadline-passed', detail: end.detail});
         case 'broken':
-          scheduler.noteFailure(state.placement.decode.id);
+          scheduler.recordFailure(state.placement.decode.id);
           host.onBroken(job, state.placement.decode);
           failures.logFailure(
             'Stream broke.',
--- a/src/relay/streams/stream_start.ts
+++ b/src/relay/streams/stream_start.ts
@@ -23,7 +23,7 @@
   leftMs,
   type RelayJob,
 } from '../relay_types.js';
-import type {SharedLearning} from '../placement/shared_learning.js';
+import type {SharedStatistics} from '../placement/shared_statistics.js';
 import type {StreamState} from './stream_state.js';
 import type {Upstream} from '../../core/upstream.js';
 import type {UpstreamRegistry} from '../store/upstream_registry.js';
@@ -34,7 +34,7 @@
   readonly scheduler: EngineScheduler;
   readonly registry: UpstreamRegistry;
   readonly calls: BudgetedCalls;
-  readonly learning: SharedLearning;
+  readonly statistics: SharedStatistics;
   readonly failures: EngineFailures;
   /** Called when a run breaks off. */
   onBroken(job: RelayJob, upstream: Upstream): void;
@@ -122,7 +122,7 @@
   }
 
   function releaseBookings(state: StreamState): void {
-    state.placement.prefillBooking.end();
+    state.placement.prefillReservation.end();
     scheduler.release(state.placement.run);
   }
 
@@ -134,10 +134,10 @@
    */
   function retryAfterRejection(state: StreamState, attempt: number): boolean {
     const {placement} = state;
-    scheduler.noteFull(placement.decode.id);
+    scheduler.recordRefusal(placement.decode.id);
     state.avoid.add(placement.decode.id);
     if (attempt > 1 && state.source) {
-      if (placement.prefill) scheduler.noteFailure(placement.prefill.id);
+      if (placement.prefill) scheduler.recordFailure(placement.prefill.id);
       releasePrefillResult(state);
     }
     return placeElsewhere(state);
@@ -172,7 +172,7 @@
       }
       switch (outcome.kind) {
         case 'answered':
-          scheduler.noteTaken(decode.id);
+          scheduler.recordAcceptance(decode.id);
           return acceptAnswer(state, outcome);
         case 'cancelled':
           return outcome;
@@ -225,7 +225,7 @@
     state.source = undefined;
     if (isGenuine(answer)) return {kind: 'streaming', answer};
     answer.body.destroy();
-    scheduler.noteFailure(decode.id);
+    scheduler.recordFailure(decode.id);
     return {
       kind: 'failed',
       error: {
--- a/src/request/journal_plan.ts
+++ b/src/request/journal_plan.ts
@@ -3,7 +3,7 @@
 import {
   decideBegin,
   decideEnd,
-  inlineAnswer,
+  toInlineAnswer,
   type BeginFacts,
   type JournalRow,
   type RowAnswer,
@@ -128,7 +128,7 @@
     const {status, headers} = op.end.answer;
     const answer = op.objectKey
       ? {status, headers: {...headers}, objectKey: op.objectKey}
-      : inlineAnswer(op.end.answer);
+      : toInlineAnswer(op.end.answer);
     return {...base, state: 'answered', answer};
   }
 
--- a/src/request/model_task.ts
+++ b/src/request/model_task.ts
@@ -355,8 +355,8 @@
       ),
     probe: effect => void probe(effect.attempt, effect.address),
     blame(effect) {
-      host.observer?.onEngineBlamed?.(service, effect.engineId);
-      host.quarantine.blame(request.fingerprint, effect.engineId);
+      host.observer?.onUpstreamLost?.(service, effect.engineId);
+      host.quarantine.recordLoss(request.fingerprint, effect.engineId);
     },
     'ask-retry': requestRetry,
     'set-timer'(effect) {
--- a/src/request/plain_calls.ts
+++ b/src/request/plain_calls.ts
@@ -146,8 +146,8 @@
         .probe(options.probeTimeoutMs)
         .catch(() => false);
       if (isAlive) return true;
-      host.observer?.onEngineBlamed?.(request.service, call.upstreamId);
-      host.quarantine.blame(request.fingerprint, call.upstreamId);
+      host.observer?.onUpstreamLost?.(request.service, call.upstreamId);
+      host.quarantine.recordLoss(request.fingerprint, call.upstreamId);
       return false;
     },
     requestRetry() {
--- a/src/request/quarantine.ts
+++ b/src/request/quarantine.ts
@@ -49,7 +49,7 @@
 export interface QuarantineHost {
   readonly clock: Clock;
   /** Sends a fact to the other entries. */
-  spread(fact: LossFact): void;
+  broadcast(fact: LossFact): void;
   /**
    * Id of the present death of an engine. Absent where engines keep their ids
    * across restarts; the time of the death then becomes part of the id.
@@ -60,11 +60,11 @@
 export interface Quarantine {
   verdict(fingerprint: string): QuarantineVerdict;
   /** Records that an engine died while it ran the fingerprint. */
-  blame(fingerprint: string, engineId: string): QuarantineVerdict;
+  recordLoss(fingerprint: string, engineId: string): QuarantineVerdict;
   /** Records a complete run. */
   clear(fingerprint: string): void;
   /** Merges a fact of another entry. */
-  learn(fact: LossFact): void;
+  mergeFact(fact: LossFact): void;
   facts(): readonly LossFact[];
   /**
    * Calls `onTurn` once no other suspect of the same loss is on trial, or after
@@ -200,19 +200,19 @@
 
   return {
     verdict,
-    blame(fingerprint, engineId) {
+    recordLoss(fingerprint, engineId) {
       const suspect = touchSuspect(fingerprint);
       addLoss(fingerprint, suspect, lossIdOf(engineId));
-      host.spread(factOf(fingerprint, suspect));
+      host.broadcast(factOf(fingerprint, suspect));
       return verdict(fingerprint);
     },
     clear(fingerprint) {
       const suspect = findSuspect(fingerprint);
       if (!suspect || suspect.clearedCount === suspect.lossIds.size) return;
       suspect.clearedCount = suspect.lossIds.size;
-      host.spread(factOf(fingerprint, suspect));
+      host.broadcast(factOf(fingerprint, suspect));
     },
-    learn(fact) {
+    mergeFact(fact) {
       const suspect = touchSuspect(fact.fingerprint);
       for (const lossId of fact.lossIds) {
         addLoss(fact.fingerprint, suspect, lossId);
--- a/src/request/request_host.ts
+++ b/src/request/request_host.ts
@@ -24,7 +24,7 @@
   onFrameDropped?(service: string, what: 'late' | 'crossed' | 'repeated'): void;
   onRetry?(service: string): void;
   onRetryDenied?(service: string, why: 'budget' | 'quarantined'): void;
-  onEngineBlamed?(service: string, engineId: string): void;
+  onUpstreamLost?(service: string, engineId: string): void;
   onRequestEnded?(service: string, result: 'answered' | ErrorKind): void;
 }
 
@@ -75,7 +75,7 @@
 export const defaultRequestRunnerOptions: RequestRunnerOptions = {
   model: {
     maxAttempts: 4,
-    maxGrantAsks: 6,
+    maxGrantRequests: 6,
     prefillTimeoutMs: 8_000,
     importTimeoutMs: 3_000,
     renewIntervalMs: 2_000,
@@ -91,7 +91,7 @@
     hedgeAfterMs: 0,
     minServeMs: 10,
     lingerMs: 10_000,
-    maxIntentAsks: 5,
+    maxIntentRequests: 5,
     defaultRetryAfterMs: 1_000,
   },
   probeTimeoutMs: 300,
--- a/src/request/request_runner.ts
+++ b/src/request/request_runner.ts
@@ -62,7 +62,7 @@
 }
 
 /** A request runner that the sweep of engine sessions can query by id. */
-export interface SweptRequestRunner extends RequestRunner {
+export interface QueryableRequestRunner extends RequestRunner {
   /** Whether a request with this id is still running in this process. */
   isRunning(requestId: string): boolean;
 }
@@ -70,7 +70,7 @@
 export function createRequestRunner(
   host: RequestHost,
   options: RequestRunnerOptions = defaultRequestRunnerOptions,
-): SweptRequestRunner {
+): QueryableRequestRunner {
   const releaser = createReleaser(host);
   const pauseDetector = createPauseDetector(host.clock);
   const keyedTasks = new Map<LiveAnswer, ModelTask>();
--- a/src/request/sweep.ts
+++ b/src/request/sweep.ts
@@ -41,7 +41,7 @@
 
 export interface Sweep {
   /** Runs a round at once, for example when an entry was found dead. */
-  nudge(): void;
+  runNow(): void;
   stop(): void;
 }
 
@@ -123,7 +123,7 @@
 
   schedule();
   return {
-    nudge() {
+    runNow() {
       if (!isStopped) void runRound();
     },
     stop() {
--- a/src/scenario/scenario_entry.ts
+++ b/src/scenario/scenario_entry.ts
@@ -85,7 +85,7 @@
   const upstreams = createPlainUpstreams(balancer, () => {});
   const quarantine = createQuarantine({
     clock: fence.clock,
-    spread: fact => host.spread(fact),
+    broadcast: fact => host.spread(fact),
   });
   const keptAnswers = createKeptAnswers(
     {
--- a/src/scenario/scenario_home.ts
+++ b/src/scenario/scenario_home.ts
@@ -1,7 +1,7 @@
 /** The shard home of a scenario, and its watch over the engines. */
 
 import {createSeededRandom} from '../core/seeded_random.js';
-import type {EngineDescription} from '../core/scheduling/engine_book.js';
+import type {EngineDescription} from '../core/scheduling/engine_reservations.js';
 import type {Clock} from '../ports/clock.js';
 import type {GrantPort, GrantRefusal} from '../ports/grants.js';
 import type {Logger} from '../ports/log.js';
@@ -128,7 +128,7 @@
         onGone() {
           if (gone.has(address)) return;
           gone.add(address);
-          home.engineGone(engineId);
+          home.removeEngine(engineId);
         },
       },
       POLL,
@@ -173,7 +173,7 @@
     },
     entryGone(entryTag) {
       const {home, fence} = current;
-      fence.deliver(() => home.entryGone(entryTag));
+      fence.deliver(() => home.releaseEntry(entryTag));
     },
     queuedCount: () => current.home.summary().queued,
     crash: () => current.fence.kill(),
--- a/src/scenario/scenario_world.ts
+++ b/src/scenario/scenario_world.ts
@@ -178,7 +178,7 @@
           for (const other of entries.values()) {
             if (other.name === name) continue;
             clock.setTimer(PEER_LATENCY_MS, () =>
-              other.fence.deliver(() => other.quarantine.learn(fact)),
+              other.fence.deliver(() => other.quarantine.mergeFact(fact)),
             );
           }
         },
--- a/src/scheduling/dispatcher.ts
+++ b/src/scheduling/dispatcher.ts
@@ -44,8 +44,9 @@
   const perToken = state.model.kvBytesPerToken();
   const promptKvBytes = prefillTokens(request) * perToken;
   const kvBytes = (request.promptTokenCount + request.maxTokens) * perToken;
-  if (!isDecoding) prefill?.book.reserve(grant.grantId, promptKvBytes, nowMs);
-  decode?.book.reserve(grant.grantId, kvBytes, nowMs);
+  if (!isDecoding)
+    prefill?.reservations.reserve(grant.grantId, promptKvBytes, nowMs);
+  decode?.reservations.reserve(grant.grantId, kvBytes, nowMs);
   state.ledger.add({
     grant,
     request,
@@ -175,14 +176,14 @@
       refreshLimits(state);
       queue.grantQueued();
     },
-    setTuning(targets, wasteWeight, accounts) {
+    applySettings(targets, wasteWeight, accounts) {
       state.targets = targets;
       state.policy = createShardPolicy(options, wasteWeight);
       state.shares.setLimits(accounts);
     },
     applyLoadReport(report) {
       const engine = state.pool.get(report.engineId);
-      if (!engine?.book.reconcile(report, clock.nowMs())) return;
+      if (!engine?.reservations.reconcile(report, clock.nowMs())) return;
       if (report.leaving) engine.isLeaving = true;
       if (isRebuilding(state)) refreshLimits(state);
     },
@@ -193,12 +194,12 @@
       const engine = state.pool.get(engineId);
       if (engine) engine.isLeaving = true;
     },
-    engineGone(engineId) {
+    removeEngine(engineId) {
       if (!state.pool.remove(engineId)) return;
       removeEngine(engineId);
       queue.dropLate();
     },
-    entryGone(entryTag) {
+    releaseEntry(entryTag) {
       tracker.releaseEntry(entryTag);
       const entryRequests = state.queue
         .items()
@@ -207,11 +208,11 @@
     },
     adopt: announced => adoptGrant(state, announced),
     summary: () => summarize(state),
-    books: () =>
+    engineUsage: () =>
       [...state.pool.all()].map(engine => ({
         engineId: engine.description.engineId,
-        usedSlots: engine.book.usedSlots(),
-        usedKvBytes: engine.book.usedKvBytes(),
+        usedSlots: engine.reservations.usedSlots(),
+        usedKvBytes: engine.reservations.usedKvBytes(),
         kvBytes: engine.description.kvBytes,
         isUsable: engine.share > 0 && !engine.isLeaving,
       })),
--- a/src/scheduling/dispatcher_types.ts
+++ b/src/scheduling/dispatcher_types.ts
@@ -1,10 +1,10 @@
 /** The interfaces and data types of a shard's dispatcher. */
 
 import type {AccountLimits} from '../core/scheduling/account_shares.js';
-import type {EngineDescription} from '../core/scheduling/engine_book.js';
+import type {EngineDescription} from '../core/scheduling/engine_reservations.js';
 import type {HealthOptions} from '../core/scheduling/engine_health.js';
 import type {SchedulingPolicy} from '../core/scheduling/policy.js';
-import type {ModelGuesses} from '../core/scheduling/service_model.js';
+import type {InitialEstimates} from '../core/scheduling/service_model.js';
 import type {LatencyTargets} from '../core/settings_types.js';
 import type {Clock} from '../ports/clock.js';
 import type {CacheEvent, EngineLoadReport} from '../ports/engine.js';
@@ -35,10 +35,10 @@
    * result is valid. Only then are slots reserved from a forecast, since
    * without retries a reservation that is slightly early wastes its prefill.
    */
-  readonly importsWait?: boolean;
+  readonly hasImportRetries?: boolean;
   readonly accounts?: ReadonlyMap<string, AccountLimits>;
   readonly policy?: Partial<SchedulingPolicy>;
-  readonly guesses?: Partial<ModelGuesses>;
+  readonly initialEstimates?: Partial<InitialEstimates>;
   readonly health?: Partial<HealthOptions>;
   /** How long to admit conservatively after a takeover; 0 disables it. */
   readonly rebuildMs?: number;
@@ -83,7 +83,7 @@
   /** Sets the engines of this shard and removes all others. */
   setEngines(engines: readonly EngineDescription[]): void;
   /** Applies settings after a change of configuration. */
-  setTuning(
+  applySettings(
     targets: LatencyTargets,
     wasteWeight: number,
     accounts: ReadonlyMap<string, AccountLimits>,
@@ -92,19 +92,19 @@
   applyCacheEvents(engineId: string, events: readonly CacheEvent[]): void;
   /** Stops new grants on the engine; existing grants continue. */
   markLeaving(engineId: string): void;
-  engineGone(engineId: string): void;
+  removeEngine(engineId: string): void;
   /** Releases the grants and queue places of an entry that died. */
-  entryGone(entryTag: string): void;
+  releaseEntry(entryTag: string): void;
   /** Adopts a grant of an earlier home from the announcement of its entry. */
   adopt(announced: AnnouncedGrant): void;
   summary(): ShardSummary;
   /** Reserved capacity of each engine, for checks and status pages. */
-  books(): readonly EngineBookView[];
+  engineUsage(): readonly EngineUsage[];
   /** Refuses queued requests with `home-moved`; running grants continue. */
   stop(): void;
 }
 
-export interface EngineBookView {
+export interface EngineUsage {
   readonly engineId: string;
   readonly usedSlots: number;
   readonly usedKvBytes: number;
--- a/src/scheduling/engine_limits.ts
+++ b/src/scheduling/engine_limits.ts
@@ -16,7 +16,7 @@
 export function refreshLimits(state: ShardState): void {
   const nowMs = state.clock.nowMs();
   for (const engine of state.pool.all()) {
-    const {description, book} = engine;
+    const {description, reservations} = engine;
     let share = state.policy.watchHealth
       ? state.health.share(description.engineId, nowMs)
       : 1;
@@ -27,8 +27,8 @@
       // uses an engine only after a load report of the engine itself, and only
       // half of the slots reported free. So two homes together exceed an engine
       // by at most half of its free slots, and the engine refuses the excess.
-      if (book.lastReportMs() === undefined) share = 0;
-      const free = Math.max(0, book.freeSlots());
+      if (reservations.lastReportMs() === undefined) share = 0;
+      const free = Math.max(0, reservations.freeSlots());
       const usable = Math.floor(free * REBUILD_SHARE);
       limit = Math.min(limit, description.slots - free + usable);
     }
@@ -40,7 +40,7 @@
 /** Forecasts the rate at which answers end at each decode engine. */
 export function refreshForecast(state: ShardState): void {
   const nowMs = state.clock.nowMs();
-  for (const engine of state.pool.decode) engine.endsPerMs = 0;
+  for (const engine of state.pool.decode) engine.completionsPerMs = 0;
   for (const held of state.ledger.all()) {
     if (held.phase !== 'decoding' || !held.decode) continue;
     const intervalMs = held.decode.intervalMs || state.model.intervalMs();
@@ -49,7 +49,7 @@
     const chance = state.model
       .lengths(held.request.requestClass)
       .endChance(done, more);
-    held.decode.endsPerMs += chance / FORECAST_HORIZON_MS;
+    held.decode.completionsPerMs += chance / FORECAST_HORIZON_MS;
   }
 }
 
@@ -61,7 +61,7 @@
   if (!state.policy.limitPace) return;
   for (const engine of state.pool.decode) {
     if (engine.intervalMs === 0) continue;
-    const used = engine.book.usedSlots();
+    const used = engine.reservations.usedSlots();
     const {slots} = engine.description;
     if (
       engine.intervalMs >
--- a/src/scheduling/grant_issuer.ts
+++ b/src/scheduling/grant_issuer.ts
@@ -37,9 +37,9 @@
       startInMs: Math.round(startInMs),
     };
     const cached = cachedTokens(state, queued, prefill);
-    prefill.book.reserve(grantId, queued.promptKvBytes, nowMs);
+    prefill.reservations.reserve(grantId, queued.promptKvBytes, nowMs);
     prefill.backlog.add(grantId, placement.prefillMs, nowMs);
-    decode.book.reserve(grantId, queued.kvBytes, nowMs);
+    decode.reservations.reserve(grantId, queued.kvBytes, nowMs);
     reserveLinks(grantId, prefill, decode, placement);
     state.shares.charge(request.account, costMs(state, queued), nowMs);
     recordUse(prefill);
@@ -60,7 +60,7 @@
       tokensAtMs: nowMs,
     });
     if (state.policy.usePrefixCache) {
-      state.prefixes.noteComputed(
+      state.prefixes.recordComputed(
         prefill.description.engineId,
         request.prefixHashes,
       );
@@ -72,7 +72,7 @@
   function recordUse(engine: PoolEngine): void {
     const nowMs = state.clock.nowMs();
     const {engineId} = engine.description;
-    state.health.noteUse(engineId, nowMs);
+    state.health.recordUse(engineId, nowMs);
     if (state.policy.watchHealth)
       engine.share = state.health.share(engineId, nowMs);
   }
--- a/src/scheduling/grant_tracker.ts
+++ b/src/scheduling/grant_tracker.ts
@@ -35,14 +35,14 @@
   function releasePrefill(held: HeldGrant): void {
     const {grantId} = held.grant;
     held.prefill?.backlog.remove(grantId, state.clock.nowMs());
-    held.prefill?.book.release(grantId);
+    held.prefill?.reservations.release(grantId);
     held.prefill?.link.release(grantId);
     held.decode?.link.release(grantId);
   }
 
   function release(held: HeldGrant): void {
     releasePrefill(held);
-    held.decode?.book.release(held.grant.grantId);
+    held.decode?.reservations.release(held.grant.grantId);
     state.ledger.remove(held.grant.grantId);
   }
 
@@ -81,8 +81,8 @@
     const outputKv =
       (held.request.maxTokens - held.request.resumeOffset) *
       state.model.kvBytesPerToken();
-    held.prefill?.book.resize(grantId, kvSizeBytes, nowMs);
-    held.decode?.book.resize(grantId, kvSizeBytes + outputKv, nowMs);
+    held.prefill?.reservations.resize(grantId, kvSizeBytes, nowMs);
+    held.decode?.reservations.resize(grantId, kvSizeBytes + outputKv, nowMs);
     held.phase = 'prefilled';
   }
 
@@ -141,7 +141,7 @@
         .record(progress.tokensDelivered);
       const decodeId = held.decode?.description.engineId;
       if (decodeId === undefined || !state.health.isOutlier(decodeId)) {
-        state.model.noteHold(nowMs - held.grantedAtMs);
+        state.model.recordHold(nowMs - held.grantedAtMs);
       }
       if (held.prefill)
         state.health.success(held.prefill.description.engineId, nowMs);
--- a/src/scheduling/shard_choice.ts
+++ b/src/scheduling/shard_choice.ts
@@ -45,9 +45,9 @@
   /** Limit of grant requests and waits for a home, for each request. */
   readonly maxAttempts?: number;
   /** Limit of busy homes tried for each request. */
-  readonly maxBusy?: number;
+  readonly maxBusyHomes?: number;
   /** Score above which shards of other failure domains are considered too. */
-  readonly spillMs?: number;
+  readonly otherDomainScoreMs?: number;
 }
 
 export interface ShardChoice extends GrantPort {
@@ -116,8 +116,9 @@
   const {clock, random, log} = host;
   const weights = {...DEFAULT_SHARD_WEIGHTS, ...options.weights};
   const maxAttempts = options.maxAttempts ?? DEFAULT_MAX_ATTEMPTS;
-  const maxBusyHomes = options.maxBusy ?? DEFAULT_MAX_BUSY_HOMES;
-  const otherDomainScoreMs = options.spillMs ?? DEFAULT_OTHER_DOMAIN_SCORE_MS;
+  const maxBusyHomes = options.maxBusyHomes ?? DEFAULT_MAX_BUSY_HOMES;
+  const otherDomainScoreMs =
+    options.otherDomainScoreMs ?? DEFAULT_OTHER_DOMAIN_SCORE_MS;
   const records = new Map<string, ShardRecord>();
   const held = new Map<string, HeldGrant>();
   const shardByPrefix = new Map<string, string>();
@@ -149,7 +150,7 @@
         totalSlots: summary?.totalSlots ?? 0,
         waitMs: summary?.waitMs ?? weights.unknownWaitMs,
         ageMs: summary ? shard.ageMs : Number.POSITIVE_INFINITY,
-        ownUnseen: countUnseen(record, shard.ageMs),
+        unreportedRequests: countUnseen(record, shard.ageMs),
         isOwnDomain: shard.failureDomain === options.ownFailureDomain,
         hasPrefix: hasPrefix(shard.shardId, request),
         isSuspect: record.suspectUntilMs > clock.nowMs(),
--- a/src/scheduling/shard_home.ts
+++ b/src/scheduling/shard_home.ts
@@ -16,11 +16,11 @@
   Dispatcher,
   DispatcherHost,
   DispatcherOptions,
-  EngineBookView,
+  EngineUsage,
   ShardSummary,
 } from './dispatcher_types.js';
 
-export type {AnnouncedGrant, EngineBookView, ShardSummary};
+export type {AnnouncedGrant, EngineUsage, ShardSummary};
 
 export interface ShardHomeHost extends DispatcherHost {
   readonly log: Logger;
@@ -69,8 +69,8 @@
     request,
     report: (grant, progress) => dispatcher.report(grant.grantId, progress),
     setEngines: engines => dispatcher.setEngines(engines),
-    setTuning: (targets, wasteWeight, accounts) =>
-      dispatcher.setTuning(targets, wasteWeight, accounts),
+    applySettings: (targets, wasteWeight, accounts) =>
+      dispatcher.applySettings(targets, wasteWeight, accounts),
     applyLoadReport: report => dispatcher.applyLoadReport(report),
     applyCacheEvents: (engineId, events) =>
       dispatcher.applyCacheEvents(engineId, events),
@@ -78,17 +78,17 @@
       log.info('Engine is leaving.', {engineId});
       dispatcher.markLeaving(engineId);
     },
-    engineGone(engineId) {
+    removeEngine(engineId) {
       log.warn('Engine was lost.', {engineId});
-      dispatcher.engineGone(engineId);
+      dispatcher.removeEngine(engineId);
     },
-    entryGone(entryTag) {
+    releaseEntry(entryTag) {
       log.info('Entry was lost; releasing its grants.', {entryTag});
-      dispatcher.entryGone(entryTag);
+      dispatcher.releaseEntry(entryTag);
     },
     adopt: announced => dispatcher.adopt(announced),
     summary: () => dispatcher.summary(),
-    books: () => dispatcher.books(),
+    engineUsage: () => dispatcher.engineUsage(),
     stop: () => dispatcher.stop(),
   };
 }
--- a/src/scheduling/shard_state.ts
+++ b/src/scheduling/shard_state.ts
@@ -23,7 +23,7 @@
 } from '../core/scheduling/prefix_index.js';
 import {
   createServiceModel,
-  DEFAULT_GUESSES,
+  DEFAULT_INITIAL_ESTIMATES,
   type ServiceModel,
 } from '../core/scheduling/service_model.js';
 import {
@@ -89,7 +89,10 @@
     random,
     options,
     pool,
-    model: createServiceModel({...DEFAULT_GUESSES, ...options.guesses}, pool),
+    model: createServiceModel(
+      {...DEFAULT_INITIAL_ESTIMATES, ...options.initialEstimates},
+      pool,
+    ),
     prefixes: createPrefixIndex(),
     health: createEngineHealth({...DEFAULT_HEALTH, ...options.health}),
     shares,
@@ -108,8 +111,8 @@
   wasteWeight: number,
 ): SchedulingPolicy {
   const changes = options.policy ?? {};
-  if (options.importsWait) return createPolicy(wasteWeight, changes);
-  return createPolicy(wasteWeight, {promiseFromForecast: false, ...changes});
+  if (options.hasImportRetries) return createPolicy(wasteWeight, changes);
+  return createPolicy(wasteWeight, {grantFromForecast: false, ...changes});
 }
 
 /**
--- a/src/serve/home_host.ts
+++ b/src/serve/home_host.ts
@@ -5,7 +5,7 @@
  */
 
 import type {AccountLimits} from '../core/scheduling/account_shares.js';
-import type {EngineDescription} from '../core/scheduling/engine_book.js';
+import type {EngineDescription} from '../core/scheduling/engine_reservations.js';
 import type {ModelServiceSettings, Settings} from '../core/settings_types.js';
 import type {Shard, ShardEngine} from '../core/shard_map.js';
 import type {Clock} from '../ports/clock.js';
@@ -168,7 +168,7 @@
         onGone() {
           if (!entry.report) return;
           entry.report = undefined;
-          running.home.engineGone(engineId);
+          running.home.removeEngine(engineId);
         },
       },
       POLL,
@@ -204,7 +204,7 @@
     if (service) {
       const {targets, wasteWeight} = service;
       const limits = createAccountLimitMap(plan.settings);
-      running.home.setTuning(targets, wasteWeight, limits);
+      running.home.applySettings(targets, wasteWeight, limits);
     }
     syncEngines(running, shard);
     for (const {engineId} of shard.engines) {
@@ -228,7 +228,7 @@
         [...engines.values()].map(({engine}) => engine.address),
       ),
     entryGone(entryTag) {
-      for (const {home} of homes.values()) home.entryGone(entryTag);
+      for (const {home} of homes.values()) home.releaseEntry(entryTag);
     },
     stop() {
       for (const [shardId, running] of homes) stopHome(shardId, running);
--- a/src/serve/metered_requests.ts
+++ b/src/serve/metered_requests.ts
@@ -26,7 +26,7 @@
     onFrameDropped: (_service, what) => metrics.recordFrameDropped(what),
     onRetry: service => metrics.recordRetry(service, 'made'),
     onRetryDenied: (service, why) => metrics.recordRetry(service, why),
-    onEngineBlamed: service => metrics.recordUpstreamBlamed(service),
+    onUpstreamLost: service => metrics.recordUpstreamBlamed(service),
   };
 }
 
--- a/src/serve/quarantine_facts.ts
+++ b/src/serve/quarantine_facts.ts
@@ -47,7 +47,7 @@
       facts.changes.listen(heard => {
         if (!heard.key.startsWith(KEY_PREFIX)) return;
         const fact = decode(heard.body);
-        if (fact) quarantine.learn(fact);
+        if (fact) quarantine.mergeFact(fact);
       });
     },
   };
--- a/src/serve/serve.ts
+++ b/src/serve/serve.ts
@@ -83,7 +83,10 @@
   );
 
   const quarantineFacts = createQuarantineFacts(facts, host.hostId);
-  const quarantine = createQuarantine({clock, spread: quarantineFacts.spread});
+  const quarantine = createQuarantine({
+    clock,
+    broadcast: quarantineFacts.spread,
+  });
   quarantineFacts.connect(quarantine);
   const runner = createRequestRunner({
     ...world,
@@ -194,7 +197,7 @@
     for (const entry of goneEntries) grants.homes.entryGone(entry);
     // First the homes that fall to this process, then a look at their engines.
     update();
-    if (goneEntries.length > 0) sweep.nudge();
+    if (goneEntries.length > 0) sweep.runNow();
   });
 
   await peerServer.listen(host.peerAddress);
--- a/tests/relay/accounts/configuration_freshness_test.ts
+++ b/tests/relay/accounts/configuration_freshness_test.ts
@@ -119,7 +119,7 @@
           store.isDown = !store.isDown;
           break;
         case 5:
-          site.handOver(host.hostId);
+          site.fetchFromPeer(host.hostId);
           break;
       }
       for (const {hostId, routing, freshness} of hosts) {
--- a/tests/relay/accounts/quota_fleet.ts
+++ b/tests/relay/accounts/quota_fleet.ts
@@ -25,8 +25,8 @@
   type HostIncarnation,
   type SpendingLedger,
 } from '../../../src/relay/accounts/spending_ledger.js';
-import {createAskClient} from '../../../src/relay/fleet/ask_client.js';
-import {createAskDesk} from '../../../src/relay/fleet/ask_desk.js';
+import {createPeerRequestClient} from '../../../src/relay/fleet/peer_request_client.js';
+import {createPeerRequestServer} from '../../../src/relay/fleet/peer_request_server.js';
 
 export const ACCOUNT = 'rmtp';
 /** Allows about seven streams per second. */
@@ -106,12 +106,12 @@
       deliver(index, to, () => hosts[to].receive(hostId, message));
     };
     const firstAskId = incarnationCount * 1_000_000;
-    const client = createAskClient<QuotaRequest, QuotaReply>({
+    const client = createPeerRequestClient<QuotaRequest, QuotaReply>({
       clock,
       firstAskId,
       tell,
     });
-    const server = createAskDesk<QuotaRequest, QuotaReply>({
+    const server = createPeerRequestServer<QuotaRequest, QuotaReply>({
       clock,
       decide: (from, request) => handleQuotaRequest(ledger, from, request),
       tell,
--- a/tests/relay/backpressure/backpressure_test.ts
+++ b/tests/relay/backpressure/backpressure_test.ts
@@ -51,7 +51,7 @@
   // overloaded upstream may expire and be listed again.
   const {clock, gate, limits, signals, list} = makeHost();
   list(UPSTREAM);
-  signals.heard(UPSTREAM, {limitPerS: 2, restMs: 3_000}, clock.nowMs());
+  signals.onSignals(UPSTREAM, {limitPerS: 2, restMs: 3_000}, clock.nowMs());
   list();
   await clock.advance(500);
   list(UPSTREAM);
@@ -62,10 +62,10 @@
 test('nothing is admitted to an upstream until its rest period ends', async () => {
   const {clock, gate, signals, list} = makeHost();
   list(UPSTREAM);
-  signals.heard(UPSTREAM, {restMs: 3_000}, clock.nowMs());
+  signals.onSignals(UPSTREAM, {restMs: 3_000}, clock.nowMs());
   await clock.advance(1_000);
   // A second refusal with a shorter rest period doesn't shorten the first.
-  signals.heard(UPSTREAM, {restMs: 500}, clock.nowMs());
+  signals.onSignals(UPSTREAM, {restMs: 500}, clock.nowMs());
   const verdict = await gate.admit('i-1', 10_000);
   assert.deepEqual(verdict, {kind: 'withheld', waitMs: 2_000, by: 'rest'});
   await clock.advance(2_000);
@@ -75,7 +75,7 @@
 test('a request is not sent to an upstream that leaves after it was chosen', async () => {
   const {clock, gate, signals, list} = makeHost();
   list(UPSTREAM);
-  signals.heard(UPSTREAM, {isLeaving: true}, clock.nowMs());
+  signals.onSignals(UPSTREAM, {isLeaving: true}, clock.nowMs());
   const verdict = await gate.admit('i-1', 0);
   assert.deepEqual(verdict, {kind: 'withheld', waitMs: 0, by: 'leaving'});
 });
@@ -83,7 +83,7 @@
 test('a limit of an unlisted upstream is not sent to peers', async () => {
   const {clock, limits, signals, list} = makeHost();
   list(UPSTREAM);
-  signals.heard(UPSTREAM, {limitPerS: 2}, clock.nowMs());
+  signals.onSignals(UPSTREAM, {limitPerS: 2}, clock.nowMs());
   assert.equal(limits.ownRecords().length, 1);
   list();
   assert.equal(limits.ownRecords().length, 0);
--- a/tests/relay/backpressure/limit_fleet.ts
+++ b/tests/relay/backpressure/limit_fleet.ts
@@ -15,7 +15,7 @@
 } from '../../../src/relay/backpressure/backpressure.js';
 import type {LimitRecord} from '../../../src/relay/backpressure/upstream_limits.js';
 import type {PermitMessage} from '../../../src/relay/backpressure/permit_messages.js';
-import {isMeshOf} from '../../../src/relay/fleet/coordinators.js';
+import {isMeshSize} from '../../../src/relay/fleet/coordinators.js';
 import type {Upstream} from '../../../src/core/upstream.js';
 import {silentLog} from '../../support/silent_log.js';
 import {revisionAt} from '../../support/store_revisions.js';
@@ -93,7 +93,7 @@
   const refusedAtMs: number[] = [];
   const deadSinceMs = new Map<number, number>();
   const cutUntilMs = new Map<number, number>();
-  const isMesh = isMeshOf(hostCount);
+  const isMesh = isMeshSize(hostCount);
   const upstreams = upstreamIds.map((id): Upstream => ({
     id,
     name: id,
@@ -217,7 +217,7 @@
       clock.setTimer(1, () => {
         if (hosts[host.index] !== host || deadSinceMs.has(host.index)) return;
         const upstream = byId.get(upstreamId)!;
-        host.backpressure.signals.heard(upstream, {limitPerS}, sentAtMs);
+        host.backpressure.signals.onSignals(upstream, {limitPerS}, sentAtMs);
         if (limitPerS === undefined || host.limitedAtMs.has(upstreamId)) return;
         host.limitedAtMs.set(upstreamId, clock.nowMs());
       });
--- a/tests/relay/crash_watch_test.ts
+++ b/tests/relay/crash_watch_test.ts
@@ -41,7 +41,7 @@
   } as Partial<UpstreamPort> as UpstreamPort;
   const quarantine = createQuarantine({
     clock,
-    spread: () => undefined,
+    broadcast: () => undefined,
     lossIdOf: id => id,
   });
   const watch = createCrashWatch({
--- a/tests/relay/fleet/few_hosts_test.ts
+++ b/tests/relay/fleet/few_hosts_test.ts
@@ -79,7 +79,7 @@
   start('c', [a.address]);
   await clock.advance(1_500);
   const message = {kind: 'withdraw', askId: 7} as const;
-  a.exchange.tell('b', message);
+  a.exchange.sendMessage('b', message);
   await clock.advance(6);
   assert.deepEqual(messages, [{to: 'b', from: 'a', message}]);
 });
--- a/tests/relay/fleet/fleet_network.ts
+++ b/tests/relay/fleet/fleet_network.ts
@@ -22,7 +22,7 @@
   PeerExchange,
 } from '../../../src/relay/fleet/peer_exchange_types.js';
 import {createStoreReaders} from '../../../src/relay/fleet/store_readers.js';
-import {answerDirectory} from '../../../src/relay/front/host_directory.js';
+import {listEntries} from '../../../src/relay/front/host_directory.js';
 import {
   createStoreConfirmation,
   type ConfirmedAges,
@@ -200,13 +200,13 @@
           ...NO_FINDINGS,
           accountLevels: [],
         }),
-        onPeer: confirm,
+        onPeerState: confirm,
         onSummary: (_, summary) => confirm(summary),
         onPeerGone() {
           lostCount++;
         },
-        onPeerUnheard: () => undefined,
-        onMembers: () => undefined,
+        onPeerSilent: () => undefined,
+        onMembersChange: () => undefined,
         isNear: hostId => exchange.isMesh() || near.has(hostId),
         isReader: readers.isReader,
         onMessage: (from, message) => {
@@ -240,7 +240,7 @@
       exchange,
       entries: () =>
         [
-          ...(answerDirectory({
+          ...(listEntries({
             callerAddress: `${name}:80`,
             random,
             isReady: () => state === 'ready',
--- a/tests/relay/placement/burst_load.ts
+++ b/tests/relay/placement/burst_load.ts
@@ -12,7 +12,7 @@
 import {createSeededRandom} from '../../../src/core/seeded_random.js';
 import {createVirtualClock} from '../../../src/core/virtual_clock.js';
 import {createCancellation} from '../../../src/relay/front/cancellation.js';
-import {createEngineBooks} from '../../../src/relay/placement/engine_books.js';
+import {createEngineLoads} from '../../../src/relay/placement/engine_loads.js';
 import {
   createEngineScheduler,
   type EngineScheduler,
@@ -20,12 +20,12 @@
 } from '../../../src/relay/placement/engine_scheduler.js';
 import type {Peer} from '../../../src/relay/fleet/peer_datagrams.js';
 import {createPlacementClient} from '../../../src/relay/placement/placement_client.js';
-import {createPlacementDesk} from '../../../src/relay/placement/placement_desk.js';
+import {createPlacementServer} from '../../../src/relay/placement/placement_server.js';
 import type {PlacementMessage} from '../../../src/relay/placement/placement_messages.js';
 import {createPlacementGroups} from '../../../src/relay/placement/placement_groups.js';
 import {createPeerView} from '../../../src/relay/placement/peer_view.js';
 import {createUpstreamRegistry} from '../../../src/relay/store/upstream_registry.js';
-import {createSharedLearning} from '../../../src/relay/placement/shared_learning.js';
+import {createSharedStatistics} from '../../../src/relay/placement/shared_statistics.js';
 import {toWaiting} from '../../../src/relay/placement/wait_rules.js';
 import {silentLog} from '../../support/silent_log.js';
 import {oneGroup} from './one_group.js';
@@ -153,8 +153,8 @@
   function makeHost(hostId: string) {
     const registry = createUpstreamRegistry({clock, log: silentLog});
     registry.apply({revision: revisionAt(1), upstreams});
-    const books = createEngineBooks();
-    const learning = createSharedLearning({clock});
+    const engineLoads = createEngineLoads();
+    const statistics = createSharedStatistics({clock});
     const groups =
       options.hasGroups === false
         ? oneGroup
@@ -166,37 +166,37 @@
                 .filter(id => id !== hostId)
                 .map(id => ({hostId: id, isReady: true})),
             engines: () => upstreams,
-            usedEngineIds: books.usedEngineIds,
+            usedEngineIds: engineLoads.usedEngineIds,
           });
-    const view = createPeerView({clock, books, groups});
+    const view = createPeerView({clock, engineLoads, groups});
     let isAnnouncing = false;
     const scheduler: EngineScheduler = createEngineScheduler({
       clock,
       random,
       log: silentLog,
       registry,
-      books,
-      learning,
+      engineLoads,
+      statistics,
       peers: view,
       groups,
       isChanging: () => false,
-      isHeld: () => false,
+      isPaused: () => false,
       onChange() {
         if (isAnnouncing) return;
         isAnnouncing = true;
         clock.setTimer(options.announceMs ?? ANNOUNCE_MS, () => {
           isAnnouncing = false;
-          announce(groups.isNear);
+          announce(groups.isUpdatedAtOnce);
         });
       },
     });
 
-    function tell(to: string, message: PlacementMessage): void {
+    function send(to: string, message: PlacementMessage): void {
       clock.setTimer(MESSAGE_MS, () => {
         const other = hosts.find(each => each.hostId === to);
         if (!other || options.silentHosts?.includes(to)) return;
         if (message.kind === 'ask' || message.kind === 'withdraw') {
-          other.desk.receive(hostId, message);
+          other.server.receive(hostId, message);
         } else {
           other.client.receive(hostId, message);
         }
@@ -211,14 +211,14 @@
       scheduler,
       registry,
       placers: groups.placers,
-      tell,
+      send,
     });
-    const desk = createPlacementDesk({
+    const server = createPlacementServer({
       clock,
       scheduler,
-      learning,
+      statistics,
       findService: name => (name === service.name ? service : undefined),
-      tell,
+      send,
     });
 
     function repeat(): void {
@@ -242,13 +242,13 @@
         listDeltas: [],
         routingAges: {readAgeMs: 0, ageMs: 0},
         isStoreReachable: true,
-        load: books.own(),
-        waiting: view.toWaitingRecords(scheduler.announcements()),
+        load: engineLoads.ownLoad(),
+        waiting: view.toWaitingRecords(scheduler.waitingRequests()),
         suspects: [],
         full: [],
         unreachable: [],
         changing: [],
-        learned: learning.own(),
+        learned: statistics.ownSums(),
         losses: [],
         adoptedAskIds: client.adoptedAskIds(),
         spending: [],
@@ -257,14 +257,24 @@
       for (const other of hosts) {
         if (other.hostId === hostId || !isReached(other.hostId)) continue;
         other.view.applyPeer(peer);
-        other.desk.adopted(hostId, peer.adoptedAskIds);
-        if (other.groups.placers().length > 0) other.scheduler.pumpSoon();
+        other.server.releaseAdopted(hostId, peer.adoptedAskIds);
+        if (other.groups.placers().length > 0)
+          other.scheduler.processQueueSoon();
         else other.scheduler.processQueue();
       }
     }
 
     clock.setTimer(Number(hostId.slice('host-'.length)), repeat);
-    return {hostId, books, learning, groups, view, scheduler, client, desk};
+    return {
+      hostId,
+      engineLoads,
+      statistics,
+      groups,
+      view,
+      scheduler,
+      client,
+      server,
+    };
   }
 
   const wait = (durationMs: number) =>
@@ -303,7 +313,7 @@
     for (let made = 0; made < outputTokens; made += TOKENS_PER_EVENT) {
       await wait(TOKENS_PER_EVENT * TOKEN_MS);
       hold(engine.id, TOKENS_PER_EVENT);
-      host.books.grow(run, made + TOKENS_PER_EVENT);
+      host.engineLoads.setOutputTokens(run, made + TOKENS_PER_EVENT);
     }
     const made = Math.ceil(outputTokens / TOKENS_PER_EVENT) * TOKENS_PER_EVENT;
     hold(engine.id, -(promptTokens + made));
@@ -317,7 +327,7 @@
       mean * (1 - width + 2 * width * random.nextFloat());
     const promptTokens = spread(3_200, 0.6);
     const outputTokens = spread(1_278, 0.7);
-    const startMs = host.learning.meanStartMs();
+    const startMs = host.statistics.meanStartMs();
     const placement = await host.client.place(
       {
         requestId: String(arrivedAtMs),
@@ -341,8 +351,8 @@
       result.longestHeldMs = Math.max(result.longestHeldMs, heldMs);
       return;
     }
-    await read(placement.prefillBooking.engineId, promptTokens);
-    placement.prefillBooking.end();
+    await read(placement.prefillReservation.engineId, promptTokens);
+    placement.prefillReservation.end();
     await decode(host, placement, promptTokens, outputTokens, arrivedAtMs);
   }
 
--- a/tests/relay/placement/engine_breaker_test.ts
+++ b/tests/relay/placement/engine_breaker_test.ts
@@ -37,15 +37,15 @@
     };
     void scheduler.place(need, createCancellation()).then(placed => {
       if (placed.kind !== 'placed') return;
-      const {decode, run, prefillBooking} = placed;
-      clock.setTimer(90, prefillBooking.end);
+      const {decode, run, prefillReservation} = placed;
+      clock.setTimer(90, prefillReservation.end);
       const isFailing = decode.id === 'd3';
       clock.setTimer(isFailing ? FAILS_AFTER_MS : RUN_MS, () => {
         if (isFailing) {
           failed++;
-          scheduler.noteFailure(decode.id);
+          scheduler.recordFailure(decode.id);
         } else {
-          scheduler.noteSuccess(decode.id);
+          scheduler.recordSuccess(decode.id);
         }
         scheduler.release(run);
       });
@@ -106,8 +106,8 @@
   const clock = createVirtualClock(1_000);
   const ids = ['p1', 'd1', 'd2'];
   const {scheduler, registry} = makeLoneScheduler(clock, ids);
-  scheduler.noteOtherRole('d1');
-  assert.deepEqual(scheduler.inOtherRole(), ['d1']);
+  scheduler.recordRoleMismatch('d1');
+  assert.deepEqual(scheduler.roleMismatches(), ['d1']);
   const service = makeService(KV_TOKENS);
   for (let i = 0; i < 4; i++) {
     const need = {
@@ -127,7 +127,7 @@
     role: id === 'd2' ? ('decode' as const) : ('prefill' as const),
   }));
   registry.apply({revision: revisionAt(2), upstreams});
-  assert.deepEqual(scheduler.inOtherRole(), []);
+  assert.deepEqual(scheduler.roleMismatches(), []);
 });
 
 test('a host that reserves engines chosen by a placer reports those that fail', () => {
@@ -146,6 +146,6 @@
     callerLeftMs: 14_000,
   };
   scheduler.reserveChosen(need, {decode: registry.get('d1')!});
-  scheduler.noteFailure('d1');
+  scheduler.recordFailure('d1');
   assert.deepEqual(scheduler.suspects(), ['d1']);
 });
--- a/tests/relay/placement/engine_scheduler_test.ts
+++ b/tests/relay/placement/engine_scheduler_test.ts
@@ -4,14 +4,14 @@
 import {createSeededRandom} from '../../../src/core/seeded_random.js';
 import {createVirtualClock} from '../../../src/core/virtual_clock.js';
 import {createCancellation} from '../../../src/relay/front/cancellation.js';
-import {createEngineBooks} from '../../../src/relay/placement/engine_books.js';
+import {createEngineLoads} from '../../../src/relay/placement/engine_loads.js';
 import {
   createEngineScheduler,
   type PeerView,
   type PlacementOutcome,
   type StreamNeed,
 } from '../../../src/relay/placement/engine_scheduler.js';
-import {createSharedLearning} from '../../../src/relay/placement/shared_learning.js';
+import {createSharedStatistics} from '../../../src/relay/placement/shared_statistics.js';
 import type {Upstream} from '../../../src/core/upstream.js';
 import {createUpstreamRegistry} from '../../../src/relay/store/upstream_registry.js';
 import type {Waiting} from '../../../src/relay/placement/wait_rules.js';
@@ -59,7 +59,7 @@
       makeEngine(id, id.startsWith('p') ? 'prefill' : 'decode'),
     ),
   });
-  const books = createEngineBooks();
+  const engineLoads = createEngineLoads();
   let waitingAtPeers: readonly Waiting[] = [];
   let fullAtPeers: string | undefined;
   const peers: PeerView = {
@@ -67,24 +67,24 @@
     isSuspect: () => false,
     isFull: id => id === fullAtPeers,
     isChanging: () => false,
-    isAwaited: () => false,
+    hasWaiters: () => false,
   };
   const scheduler = createEngineScheduler({
     clock,
     random,
     log: silentLog,
     registry,
-    books,
-    learning: createSharedLearning({clock}),
+    engineLoads,
+    statistics: createSharedStatistics({clock}),
     peers,
     groups: oneGroup,
     isChanging: () => false,
-    isHeld: () => false,
+    isPaused: () => false,
     onChange: () => undefined,
   });
   return {
     clock,
-    books,
+    engineLoads,
     registry,
     scheduler,
     setFullAtPeers(id: string) {
@@ -141,9 +141,9 @@
   // Guards against engines reserved up to three times: when memory becomes
   // free, every host sees it at once and each gives it to the first request of
   // its own queue.
-  const {clock, books, scheduler, setPeers} = makeScheduler(['p1', 'd1']);
+  const {clock, engineLoads, scheduler, setPeers} = makeScheduler(['p1', 'd1']);
   const nowMs = clock.nowMs();
-  const run = books.startRun({
+  const run = engineLoads.startRun({
     engineId: 'd1',
     promptTokens: 8_000,
     expectedOutputTokens: 500,
@@ -163,7 +163,7 @@
   ]);
   scheduler.release(run);
   await clock.advance(60);
-  assert.equal(scheduler.announcements().length, 1);
+  assert.equal(scheduler.waitingRequests().length, 1);
   setPeers([]);
   await clock.advance(60);
   assert.equal(placedOn(await outcome), 'p1>d1');
@@ -172,9 +172,9 @@
 test('a request whose turn would come too late is refused at once', async () => {
   // Guards against callers that wait until they leave although it could be
   // forecast on arrival that no room would be free in time.
-  const {clock, books, scheduler, setPeers} = makeScheduler(['p1', 'd1']);
+  const {clock, engineLoads, scheduler, setPeers} = makeScheduler(['p1', 'd1']);
   const nowMs = clock.nowMs();
-  books.startRun({
+  engineLoads.startRun({
     engineId: 'd1',
     promptTokens: 8_000,
     expectedOutputTokens: 500,
@@ -195,9 +195,9 @@
 });
 
 test('requests that can still be on time go before late ones', async () => {
-  const {clock, books, scheduler} = makeScheduler(['p1', 'd1']);
+  const {clock, engineLoads, scheduler} = makeScheduler(['p1', 'd1']);
   const nowMs = clock.nowMs();
-  const run = books.startRun({
+  const run = engineLoads.startRun({
     engineId: 'd1',
     promptTokens: 8_000,
     expectedOutputTokens: 500,
@@ -220,14 +220,14 @@
   scheduler.release(run);
   await clock.advance(10);
   assert.equal((await fresh).kind, 'placed');
-  assert.equal(scheduler.announcements().length, 1);
+  assert.equal(scheduler.waitingRequests().length, 1);
   await clock.advance(4_000);
   assert.equal((await late).kind, 'refused');
 });
 
 test('a waiting request is refused before its caller leaves', async () => {
-  const {clock, books, scheduler} = makeScheduler(['p1', 'd1']);
-  books.startRun({
+  const {clock, engineLoads, scheduler} = makeScheduler(['p1', 'd1']);
+  engineLoads.startRun({
     engineId: 'd1',
     promptTokens: 8_000,
     expectedOutputTokens: 500,
@@ -236,12 +236,12 @@
   const outcome = scheduler.place(need, neverCancelled);
   await clock.advance(3_100);
   assert.equal((await outcome).kind, 'refused');
-  assert.equal(scheduler.announcements().length, 0);
+  assert.equal(scheduler.waitingRequests().length, 0);
 });
 
 test('a caller that leaves frees its place in the queue', async () => {
-  const {clock, books, scheduler} = makeScheduler(['p1', 'd1']);
-  books.startRun({
+  const {clock, engineLoads, scheduler} = makeScheduler(['p1', 'd1']);
+  engineLoads.startRun({
     engineId: 'd1',
     promptTokens: 8_000,
     expectedOutputTokens: 500,
@@ -251,23 +251,23 @@
   await clock.advance(10);
   cancellation.cancel();
   assert.equal((await outcome).kind, 'cancelled');
-  assert.equal(scheduler.announcements().length, 0);
+  assert.equal(scheduler.waitingRequests().length, 0);
 });
 
 test('an engine that failed a request is used once the healthy ones are full', async () => {
   // Guards against callers that wait and leave in a burst although an engine
   // has room: an engine that had just lost one answer was excluded like one
   // that loses all.
-  const {clock, books, scheduler} = makeScheduler(['p1', 'd1', 'd2']);
+  const {clock, engineLoads, scheduler} = makeScheduler(['p1', 'd1', 'd2']);
   const place = () => scheduler.place(makeNeed(clock.nowMs()), neverCancelled);
   assert.equal((await place()).kind, 'placed');
-  scheduler.noteFailure('d2');
+  scheduler.recordFailure('d2');
   assert.equal(
     placedOn(await place()),
     'p1>d1',
     'while the healthy engine has room',
   );
-  books.startRun({
+  engineLoads.startRun({
     engineId: 'd1',
     promptTokens: 4_000,
     expectedOutputTokens: 500,
@@ -286,7 +286,7 @@
   // An engine is tracked, and can be reported as failing, once it was
   // considered.
   await place();
-  scheduler.noteFailure('p1');
+  scheduler.recordFailure('p1');
   const prefills: string[] = [];
   for (let i = 0; i < 7; i++) prefills.push((await place()).slice(0, 2));
   assert.deepEqual(prefills.slice(0, 4), ['p2', 'p2', 'p2', 'p2']);
@@ -308,14 +308,14 @@
     if (outcome.kind !== 'placed') continue;
     if (outcome.decode.id === 'd2') {
       refusedAt.push(clock.nowMs());
-      scheduler.noteFull('d2');
+      scheduler.recordRefusal('d2');
     }
-    outcome.prefillBooking.end();
+    outcome.prefillReservation.end();
     scheduler.release(outcome.run);
     await clock.advance(25);
   }
   assert.ok(refusedAt.length <= 6, `${refusedAt.length} were sent there`);
-  scheduler.noteTaken('d2');
+  scheduler.recordAcceptance('d2');
   const outcome = await scheduler.place(
     makeNeed(clock.nowMs()),
     neverCancelled,
--- a/tests/relay/placement/lone_scheduler.ts
+++ b/tests/relay/placement/lone_scheduler.ts
@@ -3,9 +3,9 @@
 import type {Service} from '../../../src/core/routing_types.js';
 import {createSeededRandom} from '../../../src/core/seeded_random.js';
 import type {Clock} from '../../../src/ports/clock.js';
-import {createEngineBooks} from '../../../src/relay/placement/engine_books.js';
+import {createEngineLoads} from '../../../src/relay/placement/engine_loads.js';
 import {createEngineScheduler} from '../../../src/relay/placement/engine_scheduler.js';
-import {createSharedLearning} from '../../../src/relay/placement/shared_learning.js';
+import {createSharedStatistics} from '../../../src/relay/placement/shared_statistics.js';
 import type {Upstream} from '../../../src/core/upstream.js';
 import {createUpstreamRegistry} from '../../../src/relay/store/upstream_registry.js';
 import {silentLog} from '../../support/silent_log.js';
@@ -52,26 +52,26 @@
     revision: revisionAt(1),
     upstreams: engineIds.map(makeEngine),
   });
-  const books = createEngineBooks();
-  const learning = createSharedLearning({clock});
+  const engineLoads = createEngineLoads();
+  const statistics = createSharedStatistics({clock});
   const scheduler = createEngineScheduler({
     clock,
     random,
     log: silentLog,
     registry,
-    books,
-    learning,
+    engineLoads,
+    statistics,
     groups: oneGroup,
     peers: {
       waiting: () => [],
       isSuspect: () => false,
       isFull: () => false,
       isChanging: () => false,
-      isAwaited: () => false,
+      hasWaiters: () => false,
     },
     isChanging: () => false,
-    isHeld: () => false,
+    isPaused: () => false,
     onChange: () => undefined,
   });
-  return {registry, books, learning, scheduler};
+  return {registry, engineLoads, statistics, scheduler};
 }
--- a/tests/relay/placement/one_group.ts
+++ b/tests/relay/placement/one_group.ts
@@ -9,9 +9,9 @@
   placers: () => [],
   keepers: () => [],
   groupCount: () => 1,
-  isNear: () => true,
-  isMate: () => true,
-  isOwn: () => true,
-  isOwnOf: () => true,
+  isUpdatedAtOnce: () => true,
+  isInOwnGroup: () => true,
+  isPreferred: () => true,
+  isPreferredBy: () => true,
   refresh: () => undefined,
 };
--- a/tests/relay/placement/placement_client_test.ts
+++ b/tests/relay/placement/placement_client_test.ts
@@ -7,7 +7,7 @@
   StreamNeed,
 } from '../../../src/relay/placement/engine_scheduler.js';
 import {createPlacementClient} from '../../../src/relay/placement/placement_client.js';
-import {createPlacementDesk} from '../../../src/relay/placement/placement_desk.js';
+import {createPlacementServer} from '../../../src/relay/placement/placement_server.js';
 import type {PlacementMessage} from '../../../src/relay/placement/placement_messages.js';
 import {silentLog} from '../../support/silent_log.js';
 import {makeEngine, makeLoneScheduler, makeService} from './lone_scheduler.js';
@@ -25,11 +25,11 @@
   let lostAnswers = 0;
 
   function makeHost(hostId: string) {
-    const {registry, books, learning, scheduler} = makeLoneScheduler(
+    const {registry, engineLoads, statistics, scheduler} = makeLoneScheduler(
       clock,
       engineIds,
     );
-    const tell = (to: string, message: PlacementMessage) =>
+    const send = (to: string, message: PlacementMessage) =>
       deliver(hostId, to, message);
     const client = createPlacementClient({
       clock,
@@ -39,16 +39,16 @@
       scheduler,
       registry,
       placers: () => ['first', 'standby'],
-      tell,
+      send,
     });
-    const desk = createPlacementDesk({
+    const server = createPlacementServer({
       clock,
       scheduler,
-      learning,
+      statistics,
       findService: () => service,
-      tell,
+      send,
     });
-    return {hostId, registry, books, scheduler, client, desk};
+    return {hostId, registry, engineLoads, scheduler, client, server};
   }
 
   const hosts = ['entry', 'first', 'standby'].map(makeHost);
@@ -64,7 +64,7 @@
     clock.setTimer(MESSAGE_MS, () => {
       const host = hosts.find(each => each.hostId === to);
       if (message.kind === 'ask' || message.kind === 'withdraw') {
-        host?.desk.receive(from, message);
+        host?.server.receive(from, message);
       } else {
         host?.client.receive(from, message);
       }
@@ -118,13 +118,13 @@
   const request = watch(entry.client.place(need, createCancellation()));
   await clock.advance(10);
   assert.equal(request.outcome?.kind, 'placed');
-  assert.equal(entry.books.decodeLoad('d1').runs, 1);
+  assert.equal(entry.engineLoads.decodeLoad('d1').runs, 1);
   // Until the requesting host announces the run, the placer counts it in its
   // own load.
-  assert.equal(first.books.decodeLoad('d1').runs, 1);
-  first.books.setPeer('entry', entry.books.own());
-  first.desk.adopted('entry', entry.client.adoptedAskIds());
-  assert.equal(first.books.decodeLoad('d1').runs, 1);
+  assert.equal(first.engineLoads.decodeLoad('d1').runs, 1);
+  first.engineLoads.setPeerLoad('entry', entry.engineLoads.ownLoad());
+  first.server.releaseAdopted('entry', entry.client.adoptedAskIds());
+  assert.equal(first.engineLoads.decodeLoad('d1').runs, 1);
 });
 
 test('a lost answer is repeated with the same engines', async () => {
@@ -134,7 +134,7 @@
   const request = watch(entry.client.place(need, createCancellation()));
   await clock.advance(100);
   assert.equal(request.outcome?.kind, 'placed');
-  assert.equal(first.books.decodeLoad('d1').runs, 1);
+  assert.equal(first.engineLoads.decodeLoad('d1').runs, 1);
 });
 
 test('a frozen placer is skipped and its standby is asked', async () => {
@@ -168,7 +168,7 @@
     const {outcome} = request;
     assert.ok(outcome?.kind === 'placed');
     assert.notEqual(outcome.prefill?.id, leaving);
-    outcome.prefillBooking.end();
+    outcome.prefillReservation.end();
     entry.scheduler.release(outcome.run);
     await clock.advance(1_100);
   }
@@ -185,7 +185,7 @@
 
 test('a request that waits at the placer gets the room that another frees', async () => {
   const {clock, entry, first} = makeGroup();
-  const run = first.books.startRun({
+  const run = first.engineLoads.startRun({
     engineId: 'd1',
     promptTokens: 8_000,
     expectedOutputTokens: 500,
@@ -201,7 +201,7 @@
 
 test('requests in the queue of a placer that dies are placed elsewhere', async () => {
   const {clock, entry, first, silent} = makeGroup();
-  first.books.startRun({
+  first.engineLoads.startRun({
     engineId: 'd1',
     promptTokens: 8_000,
     expectedOutputTokens: 500,
@@ -216,7 +216,7 @@
 
 test('a caller that leaves takes its request out of the placer’s queue', async () => {
   const {clock, entry, first} = makeGroup();
-  first.books.startRun({
+  first.engineLoads.startRun({
     engineId: 'd1',
     promptTokens: 8_000,
     expectedOutputTokens: 500,
@@ -225,18 +225,18 @@
   const need = makeNeed(clock.nowMs());
   const request = watch(entry.client.place(need, cancellation));
   await clock.advance(100);
-  assert.equal(first.scheduler.announcements().length, 1);
+  assert.equal(first.scheduler.waitingRequests().length, 1);
   cancellation.cancel();
   await clock.advance(20);
   assert.equal(request.outcome?.kind, 'cancelled');
-  assert.equal(first.scheduler.announcements().length, 0);
+  assert.equal(first.scheduler.waitingRequests().length, 0);
 });
 
 test('room reserved for a host that died is freed', async () => {
   const {clock, entry, first} = makeGroup();
   void entry.client.place(makeNeed(clock.nowMs()), createCancellation());
   await clock.advance(10);
-  assert.equal(first.books.decodeLoad('d1').runs, 1);
+  assert.equal(first.engineLoads.decodeLoad('d1').runs, 1);
   await clock.advance(1_100);
-  assert.equal(first.books.decodeLoad('d1').runs, 0);
+  assert.equal(first.engineLoads.decodeLoad('d1').runs, 0);
 });
