--- a/tests/relay/placement/placement_groups_test.ts
+++ b/tests/relay/placement/placement_groups_test.ts
@@ -44,8 +44,10 @@
 test('few hosts share all engines and announce every change to each other', () => {
   const hosts = makeIds('host', 9);
   const groups = makeGroups('host-3', hosts, makeEngines(9, 4));
-  assert.ok(hosts.every(id => groups.isNear(id) && groups.isMate(id)));
-  assert.ok(makeEngines(9, 4).every(({id}) => groups.isOwn(id)));
+  assert.ok(
+    hosts.every(id => groups.isUpdatedAtOnce(id) && groups.isInOwnGroup(id)),
+  );
+  assert.ok(makeEngines(9, 4).every(({id}) => groups.isPreferred(id)));
 });
 
 test('all hosts of a group have the same placer and standby', () => {
@@ -60,7 +62,7 @@
   const other = hosts.find(id => !placers.includes(id))!;
   const groups = makeGroups(other, hosts, engines);
   assert.deepEqual(
-    hosts.filter(id => id !== other && groups.isNear(id)).sort(),
+    hosts.filter(id => id !== other && groups.isUpdatedAtOnce(id)).sort(),
     [...placers].sort(),
   );
 });
@@ -81,7 +83,7 @@
   for (const hostId of hosts) {
     const groups = makeGroups(hostId, hosts, engines);
     for (const {id} of engines) {
-      if (groups.isOwn(id)) users.set(id, (users.get(id) ?? 0) + 1);
+      if (groups.isPreferred(id)) users.set(id, (users.get(id) ?? 0) + 1);
     }
   }
   for (const {id} of engines) assert.equal(users.get(id), 100, id);
@@ -91,20 +93,20 @@
   const hosts = makeIds('host', 300);
   const engines = makeEngines(150, 45);
   const idle = makeGroups('host-0', hosts, engines);
-  const foreign = engines.find(({id}) => !idle.isOwn(id))!;
-  const user = hosts.find(id => idle.isOwnOf(id, foreign.id))!;
+  const foreign = engines.find(({id}) => !idle.isPreferred(id))!;
+  const user = hosts.find(id => idle.isPreferredBy(id, foreign.id))!;
   const [placer] = makeGroups(user, hosts, engines).placers();
-  assert.equal(idle.isNear(placer), false);
+  assert.equal(idle.isUpdatedAtOnce(placer), false);
   const borrower = makeGroups('host-0', hosts, engines, [foreign.id]);
-  assert.equal(borrower.isNear(placer), true);
-  assert.equal(borrower.isMate(placer), false);
+  assert.equal(borrower.isUpdatedAtOnce(placer), true);
+  assert.equal(borrower.isInOwnGroup(placer), false);
 });
 
 test('a few engines are shared by all, however many hosts there are', () => {
   const hosts = makeIds('host', 90);
   const engines = makeEngines(3, 1);
   const groups = makeGroups('host-7', hosts, engines);
-  assert.ok(engines.every(({id}) => groups.isOwn(id)));
+  assert.ok(engines.every(({id}) => groups.isPreferred(id)));
 });
 
 test('adding or removing one engine moves few others to another group', () => {
--- a/tests/relay/placement/shared_learning_test.ts
+++ b/tests/relay/placement/shared_statistics_test.ts
@@ -3,25 +3,25 @@
 import {createVirtualClock} from '../../../src/core/virtual_clock.js';
 import {divideEngines} from '../../../src/relay/roles/role_demand.js';
 import {
-  createSharedLearning,
-  type SharedLearning,
-} from '../../../src/relay/placement/shared_learning.js';
+  createSharedStatistics,
+  type SharedStatistics,
+} from '../../../src/relay/placement/shared_statistics.js';
 
 /** Hosts that observe streams in turn and announce their sums each second. */
 async function simulate(
   hostCount: number,
-  observe: (learning: SharedLearning, index: number) => void,
-): Promise<SharedLearning> {
+  observe: (statistics: SharedStatistics, index: number) => void,
+): Promise<SharedStatistics> {
   const clock = createVirtualClock(1_000);
   const hosts = Array.from({length: hostCount}, () =>
-    createSharedLearning({clock}),
+    createSharedStatistics({clock}),
   );
   for (let index = 0; index < 400; index++) {
     observe(hosts[index % hostCount], index);
     await clock.advance(20);
     if (index % 50 > 0) continue;
     for (const [i, host] of hosts.entries()) {
-      hosts[0].setPeer(`host-${i}`, host.own());
+      hosts[0].setPeer(`host-${i}`, host.ownSums());
     }
     hosts[0].removePeer('host-0');
   }
@@ -31,27 +31,27 @@
 test('the means of one host cover the observations of all hosts', async () => {
   // Guards against a planner that divides the engines by its own streams alone:
   // with 68 hosts each sees one stream in two seconds.
-  const learning = await simulate(68, (host, index) => {
-    host.noteRun({
+  const statistics = await simulate(68, (host, index) => {
+    host.recordRun({
       promptTokens: 800,
       outputTokens: 400,
       durationMs: 6_000 + (index % 7) * 10,
       kvTokens: 10_000,
     });
-    host.notePrefill(800, 20);
+    host.recordPrefill(800, 20);
   });
-  const demand = divideEngines(learning, 30);
+  const demand = divideEngines(statistics, 30);
   // 20 ms of prefill for some 650 ms of a decode engine: one engine in thirty
   // prefills.
   assert.ok(demand.prefillEngines < 2.5, JSON.stringify(demand));
-  assert.ok(learning.meanRunMs() > 5_000);
+  assert.ok(statistics.meanRunMs() > 5_000);
 });
 
 test('the mean start time follows a burst within seconds', async () => {
   // In a burst prompts wait behind others. A host that still expects a quick
   // start lets its requests wait until they can no longer be on time.
   const estimate = (base: number) =>
-    simulate(9, (host, index) => host.noteStart(base + (index % 10) * 10));
+    simulate(9, (host, index) => host.recordStart(base + (index % 10) * 10));
   const calm = (await estimate(200)).meanStartMs();
   const busy = (await estimate(450)).meanStartMs();
   assert.ok(calm > 235 && calm < 255, String(calm));
@@ -60,15 +60,15 @@
 
 test('observations of removed hosts and old observations do not count', async () => {
   const clock = createVirtualClock(1_000);
-  const learning = createSharedLearning({clock});
-  const other = createSharedLearning({clock});
-  for (let i = 0; i < 50; i++) other.noteStart(900);
-  const first = learning.meanStartMs();
-  learning.setPeer('other', other.own());
-  assert.ok(learning.meanStartMs() > 800);
+  const statistics = createSharedStatistics({clock});
+  const other = createSharedStatistics({clock});
+  for (let i = 0; i < 50; i++) other.recordStart(900);
+  const first = statistics.meanStartMs();
+  statistics.setPeer('other', other.ownSums());
+  assert.ok(statistics.meanStartMs() > 800);
   await clock.advance(30_000);
-  assert.ok(Math.abs(learning.meanStartMs() - first) < 10);
-  learning.setPeer('other', other.own());
-  learning.removePeer('other');
-  assert.equal(learning.meanStartMs(), first);
+  assert.ok(Math.abs(statistics.meanStartMs() - first) < 10);
+  statistics.setPeer('other', other.ownSums());
+  statistics.removePeer('other');
+  assert.equal(statistics.meanStartMs(), first);
 });
--- a/tests/relay/plain/slot_load.ts
+++ b/tests/relay/plain/slot_load.ts
@@ -114,7 +114,7 @@
       balancer,
       keepers: () => keepers,
       keeperCount: () => 1,
-      tell(toHostId: string, message: SlotMessage) {
+      send(toHostId: string, message: SlotMessage) {
         if (random.nextFloat() < (options.lossShare ?? 0)) return;
         clock.setTimer(HOP_MS, () => {
           if (isDead(hostId) || isDead(toHostId)) return;
--- a/tests/relay/roles/role_orders_test.ts
+++ b/tests/relay/roles/role_orders_test.ts
@@ -13,10 +13,10 @@
   RoleOrderOutcome,
   UpstreamPort,
 } from '../../../src/ports/relay.js';
-import {createEngineBooks} from '../../../src/relay/placement/engine_books.js';
+import {createEngineLoads} from '../../../src/relay/placement/engine_loads.js';
 import {createRelayMetrics} from '../../../src/relay/relay_metrics.js';
 import {createRoleOrders} from '../../../src/relay/roles/role_orders.js';
-import {createSharedLearning} from '../../../src/relay/placement/shared_learning.js';
+import {createSharedStatistics} from '../../../src/relay/placement/shared_statistics.js';
 import {createUpstreamRegistry} from '../../../src/relay/store/upstream_registry.js';
 import {silentLog} from '../../support/silent_log.js';
 import {revisionAt} from '../../support/store_revisions.js';
@@ -78,7 +78,7 @@
     outcome: 'accepted',
     startedAtMs: FIRST_START_MS,
   };
-  const books = createEngineBooks();
+  const engineLoads = createEngineLoads();
   const sentOrders: Array<RoleOrder & {readonly engineId: string}> = [];
   let epoch = 0;
   const lease: ShortLease = {
@@ -114,10 +114,10 @@
       log,
       metrics: createRelayMetrics(),
       registry,
-      books,
+      engineLoads,
       upstreamPort,
       lease,
-      learning: createSharedLearning({clock}),
+      statistics: createSharedStatistics({clock}),
       services: () => [service],
       isPlanner: () => switches.isPlanner,
       onChange: () => undefined,
@@ -125,7 +125,7 @@
     {hostId: 'h1'},
   );
   orders.start();
-  return {clock, sentOrders, orders, switches, books};
+  return {clock, sentOrders, orders, switches, engineLoads};
 }
 
 test('engines are divided according to demand, one order at a time', async () => {
@@ -223,10 +223,10 @@
   // Guards against an engine taken from decode in a burst, when decode memory
   // is short: the learned ratio called for one more prefill engine, which was
   // away for six seconds and then had no prompts.
-  const {clock, sentOrders, books} = makeOrders(1, 12);
+  const {clock, sentOrders, engineLoads} = makeOrders(1, 12);
   await clock.advance(5_000);
   assert.equal(sentOrders.length, 0);
-  books.startPrefill('e0', 9_000);
+  engineLoads.startPrefill('e0', 9_000);
   await clock.advance(5_000);
   assert.equal(sentOrders[0]?.role, 'prefill');
 });
--- a/tests/relay/store/leaving_after_outage_test.ts
+++ b/tests/relay/store/leaving_after_outage_test.ts
@@ -59,7 +59,7 @@
   site.hearsNoChanges.add(away);
   site.setUpstreams(upstreams.slice(0, UPSTREAM_COUNT - 1));
   await site.clock.advance(1_500);
-  site.handOver(away);
+  site.fetchFromPeer(away);
   await site.clock.advance(6_500);
   site.cut.delete(away);
   return away;
@@ -112,7 +112,7 @@
   await site.clock.advance(200);
   site.configure();
   await site.clock.advance(1_000);
-  for (const hostId of away) site.handOver(hostId);
+  for (const hostId of away) site.fetchFromPeer(hostId);
   const before = site.callsOf(away);
   await site.clock.advance(6_000);
   const perSecond = (site.callsOf(away) - before) / 6 / away.length;
--- a/tests/relay/store/store_site.ts
+++ b/tests/relay/store/store_site.ts
@@ -178,7 +178,7 @@
         isReader: readers.isReader,
         isCandidate: readers.isCandidate,
         isPlacing: () => false,
-        isSought: () => isMesh || coordinatorIds.includes(hostId),
+        isRegistrationNeeded: () => isMesh || coordinatorIds.includes(hostId),
         isAlone: () => false,
         onHosts: () => undefined,
         routingSource: {
@@ -256,7 +256,7 @@
     noteMembers();
     for (const from of hosts) {
       if (dead.has(from.hostId)) continue;
-      const knowledge = {hostId: from.hostId, ...from.watch.knowledge()};
+      const knowledge = {hostId: from.hostId, ...from.watch.syncState()};
       clock.setTimer(timing.hearMs, () => {
         for (const to of hosts) {
           if (to === from || dead.has(to.hostId)) continue;
@@ -265,7 +265,7 @@
             ? {...knowledge, listDeltas: []}
             : knowledge;
           to.heard.set(from.hostId, heard);
-          to.watch.hear(heard);
+          to.watch.receivePeerState(heard);
         }
       });
     }
@@ -292,13 +292,13 @@
       return host;
     },
     /** Gives the host the data of a peer that can reach the store. */
-    handOver(hostId: string) {
+    fetchFromPeer(hostId: string) {
       const host = hosts.find(each => each.hostId === hostId);
       const peer = hosts.find(each => !cut.has(each.hostId));
       const snapshot = peer?.registry.snapshot();
       if (!host || !peer || !snapshot) return;
-      host.routing.offer(readRouting().routing, 'peer');
-      host.watch.noteHandedList(peer.watch.listAgeMs());
+      host.routing.applyIfNewer(readRouting().routing, 'peer');
+      host.watch.noteFetchedList(peer.watch.listAgeMs());
       host.registry.apply(snapshot, 'peer');
     },
     kill(hostId: string) {
--- a/tests/relay/store/store_watch_test.ts
+++ b/tests/relay/store/store_watch_test.ts
@@ -19,7 +19,7 @@
   assert.ok(perSecond < 12, `${perSecond} calls a second`);
   for (const {watch} of hosts) {
     assert.ok(watch.listAgeMs() < 1_200);
-    assert.ok(watch.knowledge().routingAges.ageMs < 1_500);
+    assert.ok(watch.syncState().routingAges.ageMs < 1_500);
   }
 });
 
--- a/tests/relay/streams/prefill_step_test.ts
+++ b/tests/relay/streams/prefill_step_test.ts
@@ -23,10 +23,10 @@
   backlogTokens = 0,
 ) {
   const clock = createVirtualClock(1_000);
-  const {registry, books, learning, scheduler} = makeLoneScheduler(clock, [
-    ...PREFILL_ENGINE_IDS,
-    'd1',
-  ]);
+  const {registry, engineLoads, statistics, scheduler} = makeLoneScheduler(
+    clock,
+    [...PREFILL_ENGINE_IDS, 'd1'],
+  );
   const cancellation = createCancellation();
   const need = {
     requestId: 'r',
@@ -40,7 +40,7 @@
   const placement = await scheduler.place(need, cancellation);
   assert.ok(placement.kind === 'placed');
   const placedAt = placement.prefill?.id ?? '';
-  books.startPrefill(placedAt, backlogTokens);
+  engineLoads.startPrefill(placedAt, backlogTokens);
   let calls = 0;
   let headTimeoutMs = 0;
   const upstreamPort: Pick<UpstreamPort, 'prefill'> = {
@@ -55,13 +55,13 @@
     clock,
     upstreamPort,
     scheduler,
-    learning,
+    statistics,
     calls: createBudgetedCalls(budget),
     failures: createEngineFailures({
       clock,
       log: silentLog,
       scheduler,
-      books,
+      engineLoads,
       registry,
     }),
   });
@@ -87,7 +87,7 @@
   };
   const outcome = await step.run(state);
   const bookedTokens = PREFILL_ENGINE_IDS.reduce(
-    (sum, id) => sum + books.prefillLoad(id).tokens,
+    (sum, id) => sum + engineLoads.prefillLoad(id).tokens,
     0,
   );
   return {outcome, calls, bookedTokens, headTimeoutMs};
--- a/tests/request/quarantine_test.ts
+++ b/tests/request/quarantine_test.ts
@@ -14,9 +14,9 @@
     entries.push(
       createQuarantine({
         clock,
-        spread(fact) {
+        broadcast(fact) {
           entries.forEach((other, j) => {
-            if (j !== i) other.learn(fact);
+            if (j !== i) other.mergeFact(fact);
           });
         },
       }),
@@ -29,9 +29,9 @@
 // another entry each time. The third attempt must be refused at every entry.
 test('a poisonous request that runs alone costs two engines at most', () => {
   const {clock, entries} = createEntries(3);
-  assert.equal(entries[0].blame('poison', 'engine-1'), 'suspect');
+  assert.equal(entries[0].recordLoss('poison', 'engine-1'), 'suspect');
   clock.advanceSync(20_000);
-  assert.equal(entries[1].blame('poison', 'engine-2'), 'quarantined');
+  assert.equal(entries[1].recordLoss('poison', 'engine-2'), 'quarantined');
   assert.equal(entries[2].verdict('poison'), 'quarantined');
   assert.equal(entries[2].verdict('other'), 'clear');
   clock.advanceSync(700_000);
@@ -43,14 +43,14 @@
 test('of two suspects only the poisonous one remains quarantined', () => {
   const {clock, entries} = createEntries(1);
   const [quarantine] = entries;
-  quarantine.blame('poison', 'engine-1');
-  quarantine.blame('innocent', 'engine-1');
+  quarantine.recordLoss('poison', 'engine-1');
+  quarantine.recordLoss('innocent', 'engine-1');
   const turns: string[] = [];
   quarantine.enterTrial('poison', 'r1', () => turns.push('poison'));
   quarantine.enterTrial('innocent', 'r2', () => turns.push('innocent'));
   assert.deepEqual(turns, ['poison']);
   clock.advanceSync(1_000);
-  quarantine.blame('poison', 'engine-2');
+  quarantine.recordLoss('poison', 'engine-2');
   quarantine.leaveTrial('r1');
   assert.deepEqual(turns, ['poison', 'innocent']);
   quarantine.clear('innocent');
@@ -61,7 +61,7 @@
 test('two reports of one engine death count as one loss', () => {
   const {clock, entries} = createEntries(2);
   clock.advanceSync(9_990);
-  entries[0].blame('f', 'engine-1');
+  entries[0].recordLoss('f', 'engine-1');
   clock.advanceSync(20);
-  assert.equal(entries[1].blame('f', 'engine-1'), 'suspect');
+  assert.equal(entries[1].recordLoss('f', 'engine-1'), 'suspect');
 });
--- a/tests/scheduling/role_plan_test.ts
+++ b/tests/scheduling/role_plan_test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
 import {
-  FIRST_ROLE_PLAN_STATE,
+  INITIAL_ROLE_PLAN_STATE,
   planModelLoads,
   planRoles,
   type PlannedEngine,
@@ -28,7 +28,7 @@
   seconds: number,
 ): RoleChange[] {
   let pool = [...start];
-  let state = FIRST_ROLE_PLAN_STATE;
+  let state = INITIAL_ROLE_PLAN_STATE;
   const changes: RoleChange[] = [];
   for (let second = 0; second < seconds; second++) {
     const step = planRoles(state, pool, demandAt(second), second * 1_000);
--- a/tests/scheduling/scheduling_state_test.ts
+++ b/tests/scheduling/scheduling_state_test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
 import fc from 'fast-check';
-import {createEngineBook} from '../../src/core/scheduling/engine_book.js';
+import {createEngineReservations} from '../../src/core/scheduling/engine_reservations.js';
 import {
   createEngineHealth,
   DEFAULT_HEALTH,
@@ -44,7 +44,7 @@
         targets: {ttftMs: 5_000, tokenIntervalMs: 60, waitMs: 60_000},
         wasteWeight: 0.2,
         maxQueued: 20,
-        guesses: {kvBytesPerToken: 10},
+        initialEstimates: {kvBytesPerToken: 10},
       },
     );
     dispatcher.setEngines(
@@ -89,7 +89,7 @@
           },
         );
       } else if (what === 'entry') {
-        dispatcher.entryGone(`e${pick % 3}#1`);
+        dispatcher.releaseEntry(`e${pick % 3}#1`);
       } else if (what === 'wait') {
         clock.advanceSync(tokens * 10);
       } else if (grant && what === 'done') {
@@ -108,7 +108,7 @@
           prefillWasted: false,
         });
       }
-      for (const book of dispatcher.books()) {
+      for (const book of dispatcher.engineUsage()) {
         assert.ok(book.usedSlots <= SLOTS);
         assert.ok(book.usedKvBytes <= KV_BYTES);
       }
@@ -165,7 +165,7 @@
 test('use by others is computed correctly from a lagging load report', () => {
   // A report that is a second old still includes requests that have just ended.
   // Counted as use by others, they would needlessly reduce the free slots.
-  const book = createEngineBook(SLOTS, KV_BYTES);
+  const book = createEngineReservations(SLOTS, KV_BYTES);
   book.reserve('g1', 1_000, 0);
   book.release('g1');
   const report = {
@@ -207,7 +207,7 @@
   }
   assert.equal(health.share('c', 500), 0);
   assert.ok(health.share('c', 2_500) > 0);
-  health.noteUse('c', 2_500);
+  health.recordUse('c', 2_500);
   assert.equal(health.share('c', 2_600), 0);
   health.sample('c', 50, 2_700);
   assert.ok(health.share('c', 2_700) > 0);
@@ -218,12 +218,12 @@
   const index = createPrefixIndex(16);
   const hashes = Array.from({length: 12}, (_, i) => `block-${i}`);
   const sampled = samplePrefixes(hashes);
-  index.noteComputed('p1', sampled);
+  index.recordComputed('p1', sampled);
   const before = index.expectedCachedTokens('p1', sampled, 64);
   assert.ok(before > 0.8 * 12 * 64);
   for (let i = 0; i < 10; i++) index.learn('p1', before, 0);
   assert.ok(index.expectedCachedTokens('p1', sampled, 64) < 0.5 * before);
-  for (let i = 0; i < 100; i++) index.noteComputed('p1', [`other-${i}`]);
+  for (let i = 0; i < 100; i++) index.recordComputed('p1', [`other-${i}`]);
   assert.equal(index.entryCount(), 16);
   assert.equal(index.expectedCachedTokens('p1', sampled, 64), 0);
 });
--- a/tests/scheduling/shard_home_test.ts
+++ b/tests/scheduling/shard_home_test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
-import type {EngineDescription} from '../../src/core/scheduling/engine_book.js';
+import type {EngineDescription} from '../../src/core/scheduling/engine_reservations.js';
 import {createSeededRandom} from '../../src/core/seeded_random.js';
 import {createVirtualClock} from '../../src/core/virtual_clock.js';
 import type {
@@ -44,7 +44,7 @@
       targets: {ttftMs: 1_000, tokenIntervalMs: 60, waitMs: 60_000},
       wasteWeight: 1,
       maxQueued: 100,
-      guesses: {kvBytesPerToken: 10},
+      initialEstimates: {kvBytesPerToken: 10},
       ...changes,
     },
   );
@@ -121,7 +121,7 @@
       });
   }
   await clock.advance(2_000);
-  const decode = home.books().find(book => book.engineId === 'd1')!;
+  const decode = home.engineUsage().find(book => book.engineId === 'd1')!;
   assert.ok(decode.usedKvBytes <= KV_BYTES);
   assert.equal(decode.usedSlots, 5);
   home.stop();
@@ -147,7 +147,7 @@
   // the ends of the grants are never reported.
   const {clock, home} = createHome(1);
   await home.request(createRequest(), neverAborted());
-  home.entryGone('e1#1');
+  home.releaseEntry('e1#1');
   await clock.advance(1_100);
   const owner = {entry: 'e2#1', requestId: 'x', attemptId: 'x'};
   const answer = await home.request(createRequest({owner}), neverAborted());
