--- a/src/serve/answers_host.ts
+++ b/src/serve/answers_host.ts
@@ -1,4 +1,7 @@
-/** Keyed model answers, wherever they run: kept here, found by the index. */
+/**
+ * Model answers of requests with an idempotency key: this process stores its
+ * own answers and finds those of other processes through a distributed index.
+ */
 
 import {
   createAnswerPeers,
@@ -9,7 +12,7 @@
 import {createAnswerIndex} from '../request/answer_index.js';
 import {createKeptAnswers, type KeptAnswers} from '../request/kept_answers.js';
 import type {Fleet} from './fleet.js';
-import type {World} from './world.js';
+import type {ProcessAdapters} from './process_adapters.js';
 
 const OPTIONS = {
   maxLocalBytes: 32 * 1024 * 1024,
@@ -21,17 +24,17 @@
 
 export interface AnswersHost {
   readonly kept: KeptAnswers;
-  /** The part of the index that this process keeps. */
+  /** The part of the distributed index that this process stores. */
   readonly ownIndex: AnswerIndexPort;
 }
 
 export function createAnswersHost(
-  world: World,
+  adapters: ProcessAdapters,
   {membership}: Fleet,
   getSettings: () => Settings | undefined,
   findOwner: (key: AnswerKey) => string | undefined,
 ): AnswersHost {
-  const {clock, objectStore, getTransport, host} = world;
+  const {clock, objectStore, getTransport, host} = adapters;
   const ownIndex = createAnswerIndex({clock});
 
   function findIndex(key: AnswerKey): AnswerIndexPort | undefined {
@@ -57,7 +60,7 @@
   const kept = createKeptAnswers(
     {
       clock,
-      log: world.createLogger('answers'),
+      log: adapters.createLogger('answers'),
       objectStore,
       index,
       peers: createAnswerPeers(getTransport),
--- a/src/serve/configuration_host.ts
+++ b/src/serve/configuration_host.ts
@@ -1,4 +1,4 @@
-/** The configuration in force, parsed for this host's site. */
+/** Holds the configuration in force, parsed for this host's site. */
 
 import {createClient, type ServiceImpl} from '@connectrpc/connect';
 import {toCallTimeoutMs} from '../adapters/peer_connection.js';
@@ -19,7 +19,7 @@
 import {ConfigurationPeer} from '../generated/corianderbend/peer_pb.js';
 import type {ConfigurationRevision as RevisionMessage} from '../generated/corianderbend/peer_pb.js';
 import type {Fleet} from './fleet.js';
-import type {World} from './world.js';
+import type {ProcessAdapters} from './process_adapters.js';
 
 export interface ConfigurationHost {
   readonly keeper: ConfigurationKeeper;
@@ -29,7 +29,7 @@
   onChange(listener: (settings: Settings) => void): void;
 }
 
-/** Problems of a stored body, at every site; none when it can be in force. */
+/** Returns the problems of a stored body at all sites; empty if it is valid. */
 function checkBody(body: string): readonly string[] {
   const {document, diagnostics} = parseSettingsDocument(body);
   const all = document ? checkSettingsDocument(document) : diagnostics;
@@ -37,20 +37,21 @@
 }
 
 export function createConfigurationHost(
-  world: World,
+  adapters: ProcessAdapters,
   {table, membership}: Fleet,
 ): ConfigurationHost {
-  const {clock, random, getTransport} = world;
-  const {hostId, site} = world.host;
-  const log = world.createLogger('configuration');
+  const {clock, random, getTransport} = adapters;
+  const {hostId, site} = adapters.host;
+  const log = adapters.createLogger('configuration');
   const listeners: ((settings: Settings) => void)[] = [];
   let front: FrontSettings | undefined;
 
   /**
-   * Another number of partitions would put keys where no record of them is,
-   * and a posting could run twice; so it may not change under a running fleet.
+   * Rejects a change of the number of partitions while processes run. Keys
+   * would map to partitions that have no record of them, and a request that
+   * isn't idempotent could run twice.
    */
-  function checkPartitions(body: string): readonly string[] {
+  function checkPartitionCount(body: string): readonly string[] {
     const before = front?.settings.coordination.journalPartitions;
     const {settings} = readStoredSettings(body, site);
     const after = settings?.coordination.journalPartitions;
@@ -95,7 +96,7 @@
           .map(member => member.hostId)
           .filter(id => id !== hostId),
       fetchFromPeer,
-      check: body => [...checkBody(body), ...checkPartitions(body)],
+      check: body => [...checkBody(body), ...checkPartitionCount(body)],
     },
     {hostId},
   );
@@ -103,7 +104,7 @@
   function adopt(revision: ConfigurationRevision): void {
     const {settings, diagnostics} = readStoredSettings(revision.body, site);
     if (!settings) {
-      log.error('The accepted revision has no settings for this site.', {
+      log.error('The accepted revision has no valid settings for this site.', {
         revision: revision.revision,
         site,
         reason: diagnostics.map(formatDiagnostic).join('; '),
@@ -124,7 +125,7 @@
   };
 }
 
-/** A revision as a message, without what peers don't need. */
+/** Converts a revision to a message, without the fields that peers ignore. */
 export function encodeRevision(
   revision: ConfigurationRevision,
 ): Omit<RevisionMessage, '$typeName'> {
@@ -139,7 +140,7 @@
   };
 }
 
-/** Gives peers the revision that is in force here. */
+/** Serves the revision in force in this process to peers. */
 export function createConfigurationPeerService(
   keeper: Pick<ConfigurationKeeper, 'current'>,
 ): ServiceImpl<typeof ConfigurationPeer> {
--- a/src/serve/drain.ts
+++ b/src/serve/drain.ts
@@ -1,7 +1,7 @@
 /**
- * How a process leaves: it tells the others, goes on serving until callers
- * have stopped using their lists of entries and every request has ended, and
- * then ends. Nothing is cut unless the bound passes or a second signal comes.
+ * Graceful shutdown: the process announces that it is leaving and serves until
+ * the entry lists of callers have expired and all requests have ended. Requests
+ * are aborted only at the drain's deadline or on a second signal.
  */
 
 import type {Clock} from '../ports/clock.js';
@@ -12,29 +12,29 @@
 export interface DrainHost {
   readonly clock: Clock;
   readonly log: Logger;
-  /** Callers' lists of entries that name this host are old after this. */
+  /** Time after which the entry lists that callers hold have expired. */
   directoryTtlMs(): number;
-  /** Requests that still run here. */
+  /** Number of requests that run in this process. */
   activeCount(): number;
   announceLeaving(): void;
 }
 
 export interface Drain {
   isLeaving(): boolean;
-  /** Begins to leave, or shortens the bound of a drain under way. */
+  /** Starts the drain, or moves the deadline of a running drain forward. */
   start(boundMs: number): void;
-  /** Ends the drain now. */
+  /** Ends the drain immediately. */
   abort(): void;
-  /** Resolves with the number of requests that were cut. */
+  /** Resolves with the number of requests that were aborted. */
   readonly ended: Promise<number>;
 }
 
 export function createDrain(host: DrainHost): Drain {
   const {clock, log} = host;
   let startedAtMs: number | undefined;
-  let endAtMs = Infinity;
+  let deadlineMs = Infinity;
   let isEnded = false;
-  let resolveEnded: (cutCount: number) => void = () => {};
+  let resolveEnded: (abortedCount: number) => void = () => {};
   const ended = new Promise<number>(resolve => (resolveEnded = resolve));
 
   function finish(): void {
@@ -46,9 +46,9 @@
   function poll(): void {
     if (isEnded || startedAtMs === undefined) return;
     const nowMs = clock.nowMs();
-    const isOutOfLists = nowMs >= startedAtMs + host.directoryTtlMs();
-    const isIdle = isOutOfLists && host.activeCount() === 0;
-    if (isIdle || nowMs >= endAtMs) {
+    const isDirectoryExpired = nowMs >= startedAtMs + host.directoryTtlMs();
+    const isIdle = isDirectoryExpired && host.activeCount() === 0;
+    if (isIdle || nowMs >= deadlineMs) {
       finish();
     } else {
       clock.setTimer(POLL_MS, poll);
@@ -58,10 +58,13 @@
   return {
     isLeaving: () => startedAtMs !== undefined,
     start(boundMs) {
-      endAtMs = Math.min(endAtMs, clock.nowMs() + boundMs);
+      deadlineMs = Math.min(deadlineMs, clock.nowMs() + boundMs);
       if (startedAtMs !== undefined) return;
       startedAtMs = clock.nowMs();
-      log.info('Leaving: no new work is drawn here.', {boundMs});
+      log.info(
+        'Drain started; this process is no longer announced for new requests.',
+        {boundMs},
+      );
       host.announceLeaving();
       poll();
     },
--- a/src/serve/engine_poll.ts
+++ b/src/serve/engine_poll.ts
@@ -1,7 +1,7 @@
 /**
- * Polls one engine for its home: load reports and cache events. A home alone
- * polls its engines; watching every engine from every process would cost more
- * than a process may spend on control (see docs/CAPACITY.md).
+ * Polls one engine for load reports and cache events. Only the home of a shard
+ * polls its engines: polling every engine from every process would exceed the
+ * capacity that a process may use for control traffic (see docs/CAPACITY.md).
  */
 
 import type {Clock, TimerHandle} from '../ports/clock.js';
@@ -16,14 +16,14 @@
   readonly engine: EnginePort;
   onLoad(report: EngineLoadReport): void;
   onCacheEvents(events: readonly CacheEvent[]): void;
-  /** The engine is reachable by no connection, old or fresh. */
+  /** Called when the engine is unreachable on open and on new connections. */
   onGone(): void;
 }
 
 export interface EnginePollOptions {
   readonly intervalMs: number;
   readonly timeoutMs: number;
-  /** Failures in a row before the engine counts as gone. */
+  /** Consecutive failures before the engine is probed on a new connection. */
   readonly failureLimit: number;
 }
 
@@ -37,7 +37,7 @@
 ): EnginePoll {
   let timer: TimerHandle | undefined;
   let isStopped = false;
-  let failures = 0;
+  let failureCount = 0;
   let cacheSequence = 0;
 
   async function pollLoad(): Promise<boolean> {
@@ -53,33 +53,33 @@
       options.timeoutMs,
     );
     if (!Array.isArray(events) || events.length === 0 || isStopped) return;
-    const list = events as readonly CacheEvent[];
-    cacheSequence = Math.max(...list.map(event => event.sequence));
-    host.onCacheEvents(list);
+    const newEvents = events as readonly CacheEvent[];
+    cacheSequence = Math.max(...newEvents.map(event => event.sequence));
+    host.onCacheEvents(newEvents);
   }
 
-  async function noteFailure(): Promise<void> {
-    failures++;
-    if (failures < options.failureLimit) return;
-    // An old connection can go silent for good while new ones work; only an
-    // engine that a fresh one cannot reach either is gone.
+  async function handleFailure(): Promise<void> {
+    failureCount++;
+    if (failureCount < options.failureLimit) return;
+    // An open connection can stop responding while new ones still work, so the
+    // engine is unreachable only if a new connection fails too.
     const probe = await host.engine.probe(options.timeoutMs);
     if (probe !== 'alive' && !isStopped) host.onGone();
-    if (probe === 'alive') failures = 0;
+    if (probe === 'alive') failureCount = 0;
   }
 
-  async function run(): Promise<void> {
+  async function pollOnce(): Promise<void> {
     if (await pollLoad()) {
-      failures = 0;
+      failureCount = 0;
       await pollCache();
     } else {
-      await noteFailure();
+      await handleFailure();
     }
     if (isStopped) return;
-    timer = host.clock.setTimer(options.intervalMs, () => void run());
+    timer = host.clock.setTimer(options.intervalMs, () => void pollOnce());
   }
 
-  void run();
+  void pollOnce();
   return {
     stop() {
       isStopped = true;
--- a/src/serve/entry_directory.ts
+++ b/src/serve/entry_directory.ts
@@ -1,24 +1,24 @@
-/** Which entries callers should use, and this entry's own load among them. */
+/** Selects the entries for callers, and publishes the load of this entry. */
 
 import type {Settings} from '../core/settings_types.js';
 import {createDirectory} from '../coordination/directory.js';
 import type {Membership} from '../coordination/membership.js';
 import type {EntriesAnswer} from '../entry/front_host.js';
 import type {TimerHandle} from '../ports/clock.js';
-import type {World} from './world.js';
+import type {ProcessAdapters} from './process_adapters.js';
 
 const KEY_PREFIX = 'load/';
 const PUBLISH_INTERVAL_MS = 2000;
 const LOAD_TTL_MS = 10_000;
-/** Loads are spread as one byte. */
-const LOAD_STEPS = 255;
-const ANSWER_ENTRIES = 4;
+/** A load from 0 to 1 is published as one byte. */
+const MAX_ENCODED_LOAD = 255;
+const REPLY_ENTRY_COUNT = 4;
 const DEFAULT_TTL_MS = 5000;
 const UINT32_RANGE = 2 ** 32;
 
 export interface EntryDirectoryPorts {
   getSettings(): Settings | undefined;
-  /** Requests open at this entry. */
+  /** Number of open requests at this entry. */
   openCount(): number;
 }
 
@@ -29,25 +29,26 @@
 }
 
 export function createEntryDirectory(
-  {clock, random, host}: Pick<World, 'clock' | 'random' | 'host'>,
+  {clock, random, host}: Pick<ProcessAdapters, 'clock' | 'random' | 'host'>,
   membership: Membership,
   ports: EntryDirectoryPorts,
 ): EntryDirectory {
   const {hostId, callerAddress} = host;
   const {facts} = membership;
   let timer: TimerHandle | undefined;
-  // Counts on over a restart, so that a new process's loads are newer.
+  // Derived from the time of day, so that versions keep increasing after a
+  // restart of the process.
   let version = Math.floor(clock.wallMs() / PUBLISH_INTERVAL_MS);
 
-  function ownLoad(): number {
+  function getOwnLoad(): number {
     const maxStreams = ports.getSettings()?.limits.maxStreams ?? Infinity;
     return Math.min(1, ports.openCount() / maxStreams);
   }
 
   function loadOf(memberId: string): number | undefined {
-    if (memberId === hostId) return ownLoad();
+    if (memberId === hostId) return getOwnLoad();
     const body = facts.get(KEY_PREFIX + memberId)?.body;
-    return body?.length ? body[0] / LOAD_STEPS : undefined;
+    return body?.length ? body[0] / MAX_ENCODED_LOAD : undefined;
   }
 
   function publish(): void {
@@ -55,7 +56,7 @@
     facts.publish({
       key: KEY_PREFIX + hostId,
       version,
-      body: Uint8Array.of(Math.round(ownLoad() * LOAD_STEPS)),
+      body: Uint8Array.of(Math.round(getOwnLoad() * MAX_ENCODED_LOAD)),
       ttlMs: LOAD_TTL_MS,
       reach: 'direct',
     });
@@ -67,7 +68,7 @@
     {
       hostId,
       callerAddress,
-      count: ANSWER_ENTRIES,
+      count: REPLY_ENTRY_COUNT,
       get ttlMs() {
         return (
           ports.getSettings()?.coordination.directoryTtlMs ?? DEFAULT_TTL_MS
--- a/src/serve/entry_liveness.ts
+++ b/src/serve/entry_liveness.ts
@@ -1,34 +1,34 @@
-/** Which incarnations of entries are gone, by the members in sight. */
+/** Determines from the membership which incarnations of entries have ended. */
 
 import type {MemberChange, Membership} from '../coordination/membership.js';
 
 const SEPARATOR = '#';
 
-/** An entry as an owner of things, `host#incarnation`. */
+/** Identifies one incarnation of an entry as an owner: `host#incarnation`. */
 export function createEntryTag(hostId: string, incarnation: number): string {
   return `${hostId}${SEPARATOR}${incarnation}`;
 }
 
-export interface SplitEntryTag {
+export interface ParsedEntryTag {
   readonly hostId: string;
   readonly incarnation: number;
 }
 
-export function splitEntryTag(entry: string): SplitEntryTag {
-  const split = entry.lastIndexOf(SEPARATOR);
+export function parseEntryTag(entry: string): ParsedEntryTag {
+  const separatorIndex = entry.lastIndexOf(SEPARATOR);
   return {
-    hostId: entry.slice(0, split),
-    incarnation: Number(entry.slice(split + 1)),
+    hostId: entry.slice(0, separatorIndex),
+    incarnation: Number(entry.slice(separatorIndex + 1)),
   };
 }
 
 export interface EntryLiveness {
   /** Tag of this process. */
   selfTag(): string;
-  /** False only when that incarnation is known to be gone. */
+  /** False only if that incarnation is known to have ended. */
   isAlive(entry: string): boolean;
-  /** Tags of the incarnations that a change shows to be gone. */
-  applyChange(change: MemberChange): readonly string[];
+  /** Tags of the incarnations that have ended according to a change. */
+  getGoneEntries(change: MemberChange): readonly string[];
 }
 
 export function createEntryLiveness(membership: Membership): EntryLiveness {
@@ -38,14 +38,14 @@
       return createEntryTag(hostId, incarnation);
     },
     isAlive(entry) {
-      const {hostId, incarnation} = splitEntryTag(entry);
+      const {hostId, incarnation} = parseEntryTag(entry);
       const member = membership.get(hostId);
-      // A member that was never heard of may be new: not known to be gone.
+      // An unknown member may be a new one, so it counts as alive.
       if (!member || member.incarnation < incarnation) return true;
       if (member.incarnation > incarnation) return false;
       return member.state !== 'dead' && member.state !== 'left';
     },
-    applyChange({before, member}) {
+    getGoneEntries({before, member}) {
       const gone: string[] = [];
       const {hostId} = member;
       if (before && before.incarnation < member.incarnation) {
--- a/src/serve/fleet.ts
+++ b/src/serve/fleet.ts
@@ -1,4 +1,4 @@
-/** The other processes as this one sees them, and its share of the platform. */
+/** Membership, leases and this process's share of the platform's table. */
 
 import {createLeaseKeeper, type LeaseKeeper} from '../coordination/lease.js';
 import {isUsable} from '../coordination/member_records.js';
@@ -11,7 +11,7 @@
 import type {ListedHost} from '../ports/table.js';
 import {createEntryLiveness, type EntryLiveness} from './entry_liveness.js';
 import {createOwners, type Owners} from './owners.js';
-import type {World} from './world.js';
+import type {ProcessAdapters} from './process_adapters.js';
 
 const TABLE_CALL_TIMEOUT_MS = 500;
 
@@ -20,19 +20,19 @@
   readonly table: TableClient;
   readonly owners: Owners;
   readonly liveness: EntryLiveness;
-  /** Processes that take new work, this one included. */
-  countUsable(): number;
-  /** Undefined until a configuration says how long leases are. */
+  /** Number of processes that accept new work, including this one. */
+  countUsableMembers(): number;
+  /** Undefined until a configuration has set the length of leases. */
   getLeases(): LeaseKeeper | undefined;
-  /** Follows the settings; the length of leases only the first time. */
+  /** Applies new settings; the length of leases is fixed by the first call. */
   applySettings(settings: CoordinationSettings): void;
-  /** Members to begin with, from the platform's list of all hosts. */
+  /** Seeds the membership from the platform's list of all hosts. */
   applyHostList(hosts: readonly ListedHost[]): void;
   start(): void;
   stop(): Promise<void>;
 }
 
-type EarlySettings = Pick<
+type InitialSettings = Pick<
   CoordinationSettings,
   | 'probeIntervalMs'
   | 'suspicionMs'
@@ -40,21 +40,21 @@
   | 'tableReadsPerSecond'
 >;
 
-/** In force until a configuration has been read. */
-const earlySettings: EarlySettings = {
+/** Used until a configuration has been read. */
+const initialSettings: InitialSettings = {
   probeIntervalMs: 500,
   suspicionMs: 1500,
   tableWritesPerSecond: 300,
   tableReadsPerSecond: 1500,
 };
 
-export function createFleet(world: World): Fleet {
-  const {clock, random, host, createLogger} = world;
-  let settings: EarlySettings = earlySettings;
+export function createFleet(adapters: ProcessAdapters): Fleet {
+  const {clock, random, host, createLogger} = adapters;
+  let settings: InitialSettings = initialSettings;
   let leases: LeaseKeeper | undefined;
 
   const membership = createMembership(
-    {clock, random, datagrams: world.datagrams},
+    {clock, random, datagrams: adapters.datagrams},
     {
       hostId: host.hostId,
       failureDomain: host.failureDomain,
@@ -69,11 +69,11 @@
       },
     },
   );
-  const countUsable = () => membership.members().filter(isUsable).length;
+  const countUsableMembers = () => membership.members().filter(isUsable).length;
   const table = createTableClient(
-    {clock, random, table: world.table},
+    {clock, random, table: adapters.table},
     {
-      hostCount: countUsable,
+      hostCount: countUsableMembers,
       get fleetWritesPerSecond() {
         return settings.tableWritesPerSecond;
       },
@@ -97,7 +97,7 @@
     table,
     owners: createOwners(clock, membership),
     liveness: createEntryLiveness(membership),
-    countUsable,
+    countUsableMembers,
     getLeases: () => leases,
     applySettings(next) {
       settings = next;
--- a/src/serve/grants_host.ts
+++ b/src/serve/grants_host.ts
@@ -1,6 +1,6 @@
 /**
- * Grants in this process: the homes that run here, and the entry's choice
- * among the homes of all processes.
+ * Grants in this process: runs the homes of the shards that it owns, and
+ * selects the shard for each request of its entry among those of all processes.
  */
 
 import {createPeerGrants, type HomePort} from '../adapters/peer_grants.js';
@@ -21,7 +21,7 @@
 import type {Fleet} from './fleet.js';
 import {createHomeHost, type HomeHost} from './home_host.js';
 import {decodeSummary, encodeSummary, getSummaryKey} from './summary_codec.js';
-import type {World} from './world.js';
+import type {ProcessAdapters} from './process_adapters.js';
 
 const PUBLISH_INTERVAL_MS = 1000;
 const SUMMARY_TTL_MS = 10_000;
@@ -37,15 +37,15 @@
   readonly choice: ShardChoice;
   readonly homes: HomeHost;
   start(): void;
-  /** Follows a change of upstreams, members or settings. */
+  /** Applies a change of upstreams, members or settings. */
   update(): void;
   shards(): readonly Shard[];
   stop(): void;
 }
 
-interface HeardSummary {
+interface ReceivedSummary {
   readonly summary: ShardSummary;
-  readonly atMs: number;
+  readonly receivedAtMs: number;
 }
 
 function isShardEngine(
@@ -55,17 +55,17 @@
 }
 
 export function createGrantsHost(
-  world: World,
+  adapters: ProcessAdapters,
   {membership, owners}: Fleet,
   ports: GrantsHostPorts,
 ): GrantsHost {
-  const {clock, random, enginePort} = world;
-  const {hostId, failureDomain: ownFailureDomain} = world.host;
+  const {clock, random, enginePort} = adapters;
+  const {hostId, failureDomain: ownFailureDomain} = adapters.host;
   const {facts} = membership;
-  const log = world.createLogger('grants');
-  const heard = new Map<string, HeardSummary>();
+  const log = adapters.createLogger('grants');
+  const receivedSummaries = new Map<string, ReceivedSummary>();
   const peers = new Map<string, HomePort>();
-  const homeIds = new Map<string, string>();
+  const lastHomeIds = new Map<string, string>();
   let shards: readonly Shard[] = [];
   let timer: TimerHandle | undefined;
   let version = Math.floor(clock.wallMs() / PUBLISH_INTERVAL_MS) % UINT32_RANGE;
@@ -78,12 +78,12 @@
     onEngineLeaving: ports.onEngineLeaving,
   });
 
-  function homeIdOf(shard: Shard): string | undefined {
+  function getHomeId(shard: Shard): string | undefined {
     return owners.ownerOf(getSummaryKey(shard.shardId), shard.failureDomain);
   }
 
-  function homePort(shard: Shard): HomePort | undefined {
-    const homeId = homeIdOf(shard);
+  function getHomePort(shard: Shard): HomePort | undefined {
+    const homeId = getHomeId(shard);
     if (homeId === undefined) return undefined;
     if (homeId === hostId) return homes.find(shard.shardId);
     const address = membership.get(homeId)?.address;
@@ -91,26 +91,28 @@
     const key = `${address} ${shard.shardId}`;
     let peer = peers.get(key);
     if (!peer) {
-      const transport = world.getTransport(address);
+      const transport = adapters.getTransport(address);
       peer = createPeerGrants({clock}, transport, shard.shardId);
       peers.set(key, peer);
     }
     return peer;
   }
 
-  function viewOf(shard: Shard): readonly ShardView[] {
-    const grantPort = homePort(shard);
+  function createShardViews(shard: Shard): readonly ShardView[] {
+    const grantPort = getHomePort(shard);
     if (!grantPort) return [];
     const {shardId} = shard;
     const failureDomain = shard.failureDomain ?? ownFailureDomain;
-    const own = homes.find(shardId)?.summary();
-    if (own) {
-      return [{shardId, failureDomain, grantPort, summary: own, ageMs: 0}];
+    const ownSummary = homes.find(shardId)?.summary();
+    if (ownSummary) {
+      return [
+        {shardId, failureDomain, grantPort, summary: ownSummary, ageMs: 0},
+      ];
     }
-    const known = heard.get(shardId);
-    const ageMs = known ? clock.nowMs() - known.atMs : Infinity;
+    const received = receivedSummaries.get(shardId);
+    const ageMs = received ? clock.nowMs() - received.receivedAtMs : Infinity;
     return [
-      {shardId, failureDomain, grantPort, summary: known?.summary, ageMs},
+      {shardId, failureDomain, grantPort, summary: received?.summary, ageMs},
     ];
   }
 
@@ -119,25 +121,27 @@
     {
       ownFailureDomain,
       shards: service =>
-        shards.filter(shard => shard.service === service).flatMap(viewOf),
+        shards
+          .filter(shard => shard.service === service)
+          .flatMap(createShardViews),
     },
   );
 
-  /** Tells a shard's new home what this entry holds of its engines. */
-  function announceTo(shard: Shard): void {
-    const homeId = homeIdOf(shard);
-    const before = homeIds.get(shard.shardId);
-    if (homeId === undefined || homeId === before) return;
-    homeIds.set(shard.shardId, homeId);
-    if (before === undefined) return;
-    const held = choice.heldGrants(shard.shardId);
+  /** Reports the grants that this entry holds to the new home of a shard. */
+  function reportHeldGrants(shard: Shard): void {
+    const homeId = getHomeId(shard);
+    const previousHomeId = lastHomeIds.get(shard.shardId);
+    if (homeId === undefined || homeId === previousHomeId) return;
+    lastHomeIds.set(shard.shardId, homeId);
+    if (previousHomeId === undefined) return;
+    const heldGrants = choice.heldGrants(shard.shardId);
     log.info('A shard has a new home.', {
       shardId: shard.shardId,
       homeId,
-      heldGrants: held.length,
+      heldGrants: heldGrants.length,
     });
-    const home = homePort(shard);
-    for (const announced of held) home?.adopt(announced);
+    const home = getHomePort(shard);
+    for (const grant of heldGrants) home?.adopt(grant);
   }
 
   function publish(): void {
@@ -158,8 +162,8 @@
     if (!fact.key.startsWith(getSummaryKey(''))) return;
     const summary = decodeSummary(fact.body);
     if (!summary) return;
-    const atMs = clock.nowMs();
-    heard.set(summary.shardId, {summary, atMs});
+    const receivedAtMs = clock.nowMs();
+    receivedSummaries.set(summary.shardId, {summary, receivedAtMs});
   });
 
   function update(): void {
@@ -180,9 +184,9 @@
     const leavingEngineIds = new Set(
       upstreams.filter(item => item.isLeaving).map(item => item.id),
     );
-    const ownShards = shards.filter(shard => homeIdOf(shard) === hostId);
+    const ownShards = shards.filter(shard => getHomeId(shard) === hostId);
     homes.update({settings, ownShards, leavingEngineIds});
-    for (const shard of shards) announceTo(shard);
+    for (const shard of shards) reportHeldGrants(shard);
   }
 
   return {
--- a/src/serve/home_host.ts
+++ b/src/serve/home_host.ts
@@ -1,7 +1,7 @@
 /**
- * The shard homes that run in this process: starts a home when a shard falls
- * to this process, stops it when the shard moves on, and feeds it with what
- * its engines report.
+ * Runs the homes of the shards that this process owns: starts a home when the
+ * process becomes the owner of a shard, stops it when the owner changes, and
+ * forwards the reports of the engines to it.
  */
 
 import type {AccountLimits} from '../core/scheduling/account_shares.js';
@@ -19,10 +19,17 @@
 } from '../scheduling/shard_home.js';
 import {startEnginePoll, type EnginePoll} from './engine_poll.js';
 
-const POLL = {intervalMs: 500, timeoutMs: 1000, failureLimit: 2} as const;
-/** Until the first report of an engine tells better. */
+const POLL_OPTIONS = {
+  intervalMs: 500,
+  timeoutMs: 1000,
+  failureLimit: 2,
+} as const;
+/** Used for all engines, since load reports do not contain the link rate. */
 const DEFAULT_LINK_BYTES_PER_MS = 10_000_000;
-/** A new home admits with care until entries have told what they hold. */
+/**
+ * Time in which entries report their grants to a new home. The home limits
+ * admission meanwhile.
+ */
 const REBUILD_MS = 1000;
 
 export interface HomeHostPorts {
@@ -30,23 +37,23 @@
   readonly random: Random;
   readonly log: Logger;
   readonly enginePort: EnginePortFactory;
-  /** The engine says by itself that it is leaving. */
+  /** Called when an engine reports that it is leaving. */
   onEngineLeaving(engineId: string): void;
 }
 
 export interface HomeHost {
-  /** Follows a change of shards, owners, leaving engines or settings. */
+  /** Applies a change of shards, owners, leaving engines or settings. */
   update(plan: HomePlan): void;
   find(shardId: string): ShardHome | undefined;
   summaries(): readonly ShardSummary[];
-  /** Addresses of the engines of all homes here. */
+  /** Addresses of the engines of all homes in this process. */
   engineAddresses(): readonly string[];
-  /** An entry died: its grants and queue places are freed everywhere. */
-  entryGone(entryTag: string): void;
+  /** Frees the grants and queued requests of an entry that has ended. */
+  releaseEntry(entryTag: string): void;
   stop(): void;
 }
 
-/** What should run here. */
+/** The homes that should run in this process, and their settings. */
 export interface HomePlan {
   readonly settings: Settings;
   readonly ownShards: readonly Shard[];
@@ -83,7 +90,7 @@
   );
 }
 
-function describe(
+function createEngineDescription(
   engine: ShardEngine,
   report: EngineLoadReport,
 ): EngineDescription {
@@ -113,8 +120,9 @@
       {clock, random, log},
       {
         shardId: shard.shardId,
-        // In milliseconds: two takeovers within one second would otherwise give
-        // grants of the same ids, and one home would free the other's.
+        // In milliseconds: with seconds, two takeovers within one second would
+        // create grants with the same ids, and one home would free grants of
+        // the other.
         homeEpoch: Math.floor(clock.wallMs()),
         service: service.name,
         targets: service.targets,
@@ -124,31 +132,31 @@
         rebuildMs: REBUILD_MS,
       },
     );
-    log.info('Home of a shard started.', {shardId: shard.shardId});
+    log.info('Shard home started.', {shardId: shard.shardId});
     const running = {home, engines: new Map<string, RunningEngine>()};
     homes.set(shard.shardId, running);
     return running;
   }
 
-  /** Engines whose size is known; an engine is used from its first report. */
-  function publishEngines({home, engines}: RunningHome): void {
+  /** Sets the engines of a home that have reported their size. */
+  function updateKnownEngines({home, engines}: RunningHome): void {
     const known: EngineDescription[] = [];
     for (const {engine, report} of engines.values()) {
-      if (report) known.push(describe(engine, report));
+      if (report) known.push(createEngineDescription(engine, report));
     }
     home.setEngines(known);
   }
 
   function onLoad(
     running: RunningHome,
-    entry: RunningEngine,
+    runningEngine: RunningEngine,
     report: EngineLoadReport,
   ): void {
-    const before = entry.report;
-    entry.report = report;
+    const before = runningEngine.report;
+    runningEngine.report = report;
     const isChanged =
       before?.role !== report.role || before?.slotsTotal !== report.slotsTotal;
-    if (isChanged) publishEngines(running);
+    if (isChanged) updateKnownEngines(running);
     running.home.applyLoadReport(report);
     if (report.leaving) {
       running.home.markLeaving(report.engineId);
@@ -162,19 +170,19 @@
       {
         clock,
         engine: ports.enginePort(address),
-        onLoad: report => onLoad(running, entry, {...report, engineId}),
+        onLoad: report => onLoad(running, runningEngine, {...report, engineId}),
         onCacheEvents: events =>
           running.home.applyCacheEvents(engineId, events),
         onGone() {
-          if (!entry.report) return;
-          entry.report = undefined;
+          if (!runningEngine.report) return;
+          runningEngine.report = undefined;
           running.home.engineGone(engineId);
         },
       },
-      POLL,
+      POLL_OPTIONS,
     );
-    const entry: RunningEngine = {engine, poll, report: undefined};
-    running.engines.set(engineId, entry);
+    const runningEngine: RunningEngine = {engine, poll, report: undefined};
+    running.engines.set(engineId, runningEngine);
   }
 
   function syncEngines(running: RunningHome, shard: Shard): void {
@@ -187,14 +195,14 @@
     for (const engine of shard.engines) {
       if (!running.engines.has(engine.engineId)) startEngine(running, engine);
     }
-    publishEngines(running);
+    updateKnownEngines(running);
   }
 
   function stopHome(shardId: string, running: RunningHome): void {
     for (const {poll} of running.engines.values()) poll.stop();
     running.home.stop();
     homes.delete(shardId);
-    log.info('Home of a shard stopped.', {shardId});
+    log.info('Shard home stopped.', {shardId});
   }
 
   function updateShard(shard: Shard, plan: HomePlan): void {
@@ -227,7 +235,7 @@
       [...homes.values()].flatMap(({engines}) =>
         [...engines.values()].map(({engine}) => engine.address),
       ),
-    entryGone(entryTag) {
+    releaseEntry(entryTag) {
       for (const {home} of homes.values()) home.entryGone(entryTag);
     },
     stop() {
--- a/src/serve/journal_host.ts
+++ b/src/serve/journal_host.ts
@@ -1,9 +1,8 @@
 /**
- * The journal partitions that this process owns, and the way to the others.
- *
- * A partition falls to a process by its place among the members; the lease in
- * the platform's table makes it the owner. Both change without agreement, so
- * every write carries the lease's epoch as a condition.
+ * Runs the journal partitions that this process owns and routes calls for the
+ * others to their owners. The membership determines which process should own a
+ * partition, and the lease in the platform's table makes it the owner. The two
+ * can disagree, so every write is conditional on the epoch of the lease.
  */
 
 import {createPeerJournal} from '../adapters/peer_journal.js';
@@ -19,14 +18,14 @@
 import {hashText} from '../core/hash_text.js';
 import type {Fleet} from './fleet.js';
 import {createJournalRouter, partitionOf} from './journal_router.js';
-import type {World} from './world.js';
+import type {ProcessAdapters} from './process_adapters.js';
 
-const HOLDER_READ = {priority: 'background', timeoutMs: 500} as const;
-/** How long one look at a partition's holder serves all that ask. */
-const HOLDER_FRESH_MS = 300;
+const HOLDER_READ_OPTIONS = {priority: 'background', timeoutMs: 500} as const;
+/** Time for which a partition's holder, once read, is cached. */
+const HOLDER_CACHE_MS = 300;
 /**
- * Share of the platform's writes that journals may use. Fewer writes carry more
- * intents each; this share gives 20 at 2,000 calls a second.
+ * Share of the platform's writes that journals may use. With fewer writes, each
+ * contains more intents: 20 with this share at 2,000 calls per second.
  */
 const JOURNAL_WRITE_SHARE = 0.32;
 const DEFAULT_RETENTION_MS = 24 * 3_600_000;
@@ -37,41 +36,41 @@
 }
 
 export interface JournalHost {
-  /** The journal as an entry uses it, whoever owns the key. */
+  /** Journal for the entry, which routes each call to the owner of its key. */
   readonly journal: JournalPort;
-  /** The owner in this process, for calls of peers. */
+  /** Owner of a partition in this process, for calls from peers. */
   findOwner(partition: number): JournalPort | undefined;
   partitionOf(key: AnswerKey): number;
-  /** Host that should own a key's partition, by the members in sight. */
-  guessOwner(key: AnswerKey): string | undefined;
+  /** Host that should own a key's partition according to the membership. */
+  getExpectedOwner(key: AnswerKey): string | undefined;
   ownedPartitions(): readonly number[];
-  /** Follows a change of members or settings. */
+  /** Applies a change of members or settings. */
   update(): void;
-  /** Gives every partition up, to the host that should own it next. */
+  /** Releases each partition to the host that should own it next. */
   stop(): Promise<void>;
 }
 
-function leaseName(partition: number): string {
+function getLeaseName(partition: number): string {
   return `journal/${partition}`;
 }
 
 export function createJournalHost(
-  world: World,
+  adapters: ProcessAdapters,
   fleet: Fleet,
   getSettings: () => Settings | undefined,
 ): JournalHost {
-  const {clock, random, objectStore, metrics, getTransport} = world;
-  const {hostId} = world.host;
+  const {clock, random, objectStore, metrics, getTransport} = adapters;
+  const {hostId} = adapters.host;
   const {membership, getLeases} = fleet;
-  const log = world.createLogger('journal');
+  const log = adapters.createLogger('journal');
   const owners = new Map<number, JournalOwner>();
-  /** Partitions that fall to this host if their owner dies. */
+  /** Partitions of which this host is the successor if their owner fails. */
   const watched = new Set<number>();
   const peers = new Map<string, JournalPort>();
   const holderReads = new Map<number, HolderRead>();
 
-  function guessOwner(partition: number): string | undefined {
-    return fleet.owners.ownerOf(leaseName(partition));
+  function getExpectedOwner(partition: number): string | undefined {
+    return fleet.owners.ownerOf(getLeaseName(partition));
   }
 
   function partitionCount(): number {
@@ -94,9 +93,9 @@
         clock,
         random,
         log,
-        table: world.table,
+        table: adapters.table,
         objectStore,
-        fence: () => getLeases()?.currentFence(leaseName(partition)),
+        fence: () => getLeases()?.currentFence(getLeaseName(partition)),
         isEntryAlive: fleet.liveness.isAlive,
         onTransaction: metrics.recordJournalBatch,
       },
@@ -110,20 +109,26 @@
     );
   }
 
-  function handOver(partition: number, successor: string | undefined): void {
+  function releasePartition(
+    partition: number,
+    successor: string | undefined,
+  ): void {
     owners.get(partition)?.close();
     owners.delete(partition);
-    void getLeases()?.release(leaseName(partition), successor);
-    log.info('A journal partition moves on.', {partition, successor});
+    void getLeases()?.release(getLeaseName(partition), successor);
+    log.info('Journal partition released to its next owner.', {
+      partition,
+      successor,
+    });
   }
 
   /**
-   * Looks on at the leases that this host is next in line for. When an owner
-   * dies its successor must see the lease unchanged for its whole length; one
-   * that has looked on already need not wait that long again.
+   * Watches the leases of which this host is the successor. After a failure of
+   * the owner, the successor must see the lease unchanged for its whole length;
+   * watching in advance avoids a wait of that length after the failure.
    */
-  function updateWatch(partition: number): void {
-    const name = leaseName(partition);
+  function updateLeaseWatch(partition: number): void {
+    const name = getLeaseName(partition);
     const isNext = fleet.owners.successorOf(name) === hostId;
     if (isNext && !watched.has(partition)) {
       watched.add(partition);
@@ -134,19 +139,19 @@
   }
 
   function updatePartition(partition: number): void {
-    const owner = guessOwner(partition);
+    const owner = getExpectedOwner(partition);
     if (owner === hostId) {
       if (owners.has(partition)) return;
       watched.delete(partition);
       owners.set(partition, createOwner(partition));
-      getLeases()?.want(leaseName(partition));
+      getLeases()?.want(getLeaseName(partition));
       return;
     }
-    if (owners.has(partition)) handOver(partition, owner);
-    updateWatch(partition);
+    if (owners.has(partition)) releasePartition(partition, owner);
+    updateLeaseWatch(partition);
   }
 
-  function peerJournal(peerId: string): JournalPort | undefined {
+  function getPeerJournal(peerId: string): JournalPort | undefined {
     const address = membership.get(peerId)?.address;
     if (!address) return undefined;
     let peer = peers.get(address);
@@ -157,27 +162,27 @@
     return peer;
   }
 
-  async function readHolderRow(partition: number): Promise<string | undefined> {
-    const key = getLeaseKey(leaseName(partition));
-    const outcome = await fleet.table.read([key], HOLDER_READ);
+  async function fetchHolder(partition: number): Promise<string | undefined> {
+    const key = getLeaseKey(getLeaseName(partition));
+    const outcome = await fleet.table.read([key], HOLDER_READ_OPTIONS);
     if (outcome.kind !== 'read') return undefined;
     const holder = outcome.value[0]?.value.holder;
     return typeof holder === 'string' && holder !== '' ? holder : undefined;
   }
 
   /**
-   * While a partition has no owner, each call for it asks who holds it. One
-   * read serves all that ask within a short time: reads for each call used up
-   * the budget, the renewals of this host's own leases found none left, and
-   * so the death of one owner cost every other one its leases too.
+   * Reads the holder of a partition, at most once per `HOLDER_CACHE_MS`. While
+   * a partition has no owner, every call for it needs the holder. A read for
+   * each call would exhaust the read budget and block the renewals of this
+   * host's own leases, so that one failed owner would cost the others theirs.
    */
   function readHolder(partition: number): Promise<string | undefined> {
     const known = holderReads.get(partition);
     const nowMs = clock.nowMs();
-    if (known && nowMs - known.startedAtMs < HOLDER_FRESH_MS) {
+    if (known && nowMs - known.startedAtMs < HOLDER_CACHE_MS) {
       return known.holder;
     }
-    const holder = readHolderRow(partition);
+    const holder = fetchHolder(partition);
     holderReads.set(partition, {startedAtMs: nowMs, holder});
     return holder;
   }
@@ -185,17 +190,17 @@
   const routerHost = {
     partitionCount,
     hash: hashText,
-    guessOwner,
+    getExpectedOwner,
     readHolder,
-    journalAt: (peerId: string, partition: number) =>
-      peerId === hostId ? owners.get(partition) : peerJournal(peerId),
+    findJournalAt: (peerId: string, partition: number) =>
+      peerId === hostId ? owners.get(partition) : getPeerJournal(peerId),
   };
 
   return {
     journal: createJournalRouter(routerHost),
     findOwner: partition => owners.get(partition),
     partitionOf: key => partitionOf(routerHost, key),
-    guessOwner: key => guessOwner(partitionOf(routerHost, key)),
+    getExpectedOwner: key => getExpectedOwner(partitionOf(routerHost, key)),
     ownedPartitions: () => [...owners.keys()],
     update() {
       const count = partitionCount();
@@ -210,8 +215,8 @@
       owners.clear();
       await Promise.all(
         partitions.map(partition => {
-          const name = leaseName(partition);
-          return getLeases()?.release(name, guessOwner(partition));
+          const name = getLeaseName(partition);
+          return getLeases()?.release(name, getExpectedOwner(partition));
         }),
       );
     },
--- a/src/serve/journal_router.ts
+++ b/src/serve/journal_router.ts
@@ -1,10 +1,10 @@
 /**
  * Sends journal calls to the owner of a key's partition.
  *
- * The owner is guessed from the members in sight. When the guess is wrong (a
- * takeover is under way, or views differ), the lease row in the table names
- * the holder, and the call is tried there once. A refused `begin` has
- * dispatched nothing, so trying elsewhere is safe.
+ * The expected owner is derived from the membership. If it is wrong (during a
+ * takeover, or while the views of members differ), the call is retried once at
+ * the holder that the lease row in the table names. The retry is safe because
+ * a refused `begin` has dispatched nothing.
  */
 
 import type {IntentRequest, JournalPort} from '../ports/journal.js';
@@ -14,16 +14,16 @@
   partitionCount(): number;
   hash(text: string): number;
   /** Member that should own the partition; undefined without members. */
-  guessOwner(partition: number): string | undefined;
-  /** Holder of the partition's lease as the table has it. */
+  getExpectedOwner(partition: number): string | undefined;
+  /** Holder of the partition's lease according to the table. */
   readHolder(partition: number): Promise<string | undefined>;
-  /** Journal of the owner at a member, maybe this process. */
-  journalAt(hostId: string, partition: number): JournalPort | undefined;
+  /** Journal of a partition at a member, which may be this process. */
+  findJournalAt(hostId: string, partition: number): JournalPort | undefined;
 }
 
 const NO_OWNER_RETRY_MS = 1000;
 
-/** The partition that keeps a request's key. */
+/** The partition that stores a request's key. */
 export function partitionOf(
   host: Pick<JournalRouterHost, 'hash' | 'partitionCount'>,
   request: Pick<IntentRequest, 'account' | 'service' | 'idempotencyKey'>,
@@ -34,30 +34,34 @@
 }
 
 export function createJournalRouter(host: JournalRouterHost): JournalPort {
-  function guess(partition: number): JournalPort | undefined {
-    const owner = host.guessOwner(partition);
-    return owner === undefined ? undefined : host.journalAt(owner, partition);
+  function findExpectedJournal(partition: number): JournalPort | undefined {
+    const owner = host.getExpectedOwner(partition);
+    return owner === undefined
+      ? undefined
+      : host.findJournalAt(owner, partition);
   }
 
-  async function lookUp(partition: number): Promise<JournalPort | undefined> {
+  async function findHolderJournal(
+    partition: number,
+  ): Promise<JournalPort | undefined> {
     const holder = await host.readHolder(partition);
-    if (holder === undefined || holder === host.guessOwner(partition)) {
+    if (holder === undefined || holder === host.getExpectedOwner(partition)) {
       return undefined;
     }
-    return host.journalAt(holder, partition);
+    return host.findJournalAt(holder, partition);
   }
 
   return {
     async begin(request) {
       const partition = partitionOf(host, request);
-      const first = await guess(partition)?.begin(request);
-      if (first && (first.kind !== 'refused' || first.reason !== 'not-owner')) {
-        return first;
+      const reply = await findExpectedJournal(partition)?.begin(request);
+      if (reply && (reply.kind !== 'refused' || reply.reason !== 'not-owner')) {
+        return reply;
       }
-      const holder = await lookUp(partition);
+      const holder = await findHolderJournal(partition);
       if (holder) return holder.begin(request);
       return (
-        first ?? {
+        reply ?? {
           kind: 'refused',
           reason: 'not-owner',
           retryAfterMs: NO_OWNER_RETRY_MS,
@@ -66,9 +70,9 @@
     },
     async end(request, end) {
       const partition = partitionOf(host, request);
-      const isDurable = await guess(partition)?.end(request, end);
+      const isDurable = await findExpectedJournal(partition)?.end(request, end);
       if (isDurable) return true;
-      const holder = await lookUp(partition);
+      const holder = await findHolderJournal(partition);
       return holder ? holder.end(request, end) : false;
     },
   };
--- a/src/serve/metered_requests.ts
+++ b/src/serve/metered_requests.ts
@@ -1,4 +1,4 @@
-/** What happens to requests inside the process, as metrics. */
+/** Records metrics of the requests that this process handles. */
 
 import type {Metrics, RequestLabels} from '../adapters/metrics.js';
 import type {Clock} from '../ports/clock.js';
@@ -15,35 +15,35 @@
   readonly promptTokenCount: number;
 }
 
-function labelsOf(request: GrantRequest): RequestLabels {
+function getLabels(request: GrantRequest): RequestLabels {
   const {service, account, requestClass} = request;
   return {service, account, requestClass};
 }
 
-/** Counts what the request tasks tell. */
+/** Creates an observer that counts the events of request tasks. */
 export function createRequestObserver(metrics: Metrics): RequestObserver {
   return {
-    onFrameDropped: (_service, what) => metrics.recordFrameDropped(what),
+    onFrameDropped: (_service, reason) => metrics.recordFrameDropped(reason),
     onRetry: service => metrics.recordRetry(service, 'made'),
-    onRetryDenied: (service, why) => metrics.recordRetry(service, why),
+    onRetryDenied: (service, reason) => metrics.recordRetry(service, reason),
     onEngineBlamed: service => metrics.recordUpstreamBlamed(service),
   };
 }
 
-/** Records queueing and prefills on their way between requests and homes. */
+/** Wraps a grant port to record queueing times, prefills and resumes. */
 export function meterGrants(
   {clock, metrics}: {readonly clock: Clock; readonly metrics: Metrics},
   grants: GrantPort,
 ): GrantPort {
-  const running = new Map<string, MeteredGrant>();
+  const activeGrants = new Map<string, MeteredGrant>();
 
-  function note(grant: Grant, progress: GrantProgress): void {
-    const metered = running.get(grant.grantId);
+  function recordProgress(grant: Grant, progress: GrantProgress): void {
+    const metered = activeGrants.get(grant.grantId);
     if (!metered) return;
     const {labels, promptTokenCount} = metered;
     if (progress.kind === 'prefill-done') metrics.recordPrefill(labels);
     if (progress.kind !== 'ended') return;
-    running.delete(grant.grantId);
+    activeGrants.delete(grant.grantId);
     if (progress.prefillWasted) {
       metrics.recordPrefillWasted(labels, promptTokenCount);
     }
@@ -53,17 +53,17 @@
     async request(request, signal) {
       const startedAtMs = clock.nowMs();
       const outcome = await grants.request(request, signal);
-      const labels = labelsOf(request);
+      const labels = getLabels(request);
       metrics.recordQueueing(labels, clock.nowMs() - startedAtMs);
       if (outcome.kind === 'granted') {
         const {promptTokenCount} = request;
-        running.set(outcome.grantId, {labels, promptTokenCount});
+        activeGrants.set(outcome.grantId, {labels, promptTokenCount});
         if (request.resumeOffset > 0) metrics.recordResume(labels);
       }
       return outcome;
     },
     report(grant, progress) {
-      note(grant, progress);
+      recordProgress(grant, progress);
       grants.report(grant, progress);
     },
   };
--- a/src/serve/operator_service.ts
+++ b/src/serve/operator_service.ts
@@ -1,4 +1,4 @@
-/** What operators ask of a process: status, drain and configuration. */
+/** The operator service of a process: status, drain and configuration. */
 
 import {Code, ConnectError, type ServiceImpl} from '@connectrpc/connect';
 import type {
@@ -16,7 +16,7 @@
 
 export interface OperatorServiceHost {
   readonly keeper: ConfigurationKeeper;
-  /** Shown as JSON; see docs/operators/cli.md. */
+  /** Returned as JSON; see docs/operators/cli.md. */
   readStatus(): unknown;
   startDrain(boundMs: number): void;
 }
--- a/src/serve/owners.ts
+++ b/src/serve/owners.ts
@@ -1,4 +1,4 @@
-/** Which member should own a shard or a partition, by the members in sight. */
+/** Determines from the membership who should own a shard or partition. */
 
 import {isUsable} from '../coordination/member_records.js';
 import type {Membership} from '../coordination/membership.js';
@@ -12,20 +12,20 @@
 export interface Owners {
   /** The member that should own `key`; undefined without members. */
   ownerOf(key: string, failureDomain?: string): string | undefined;
-  /** The member that would own `key` without its owner. */
+  /** The member that would own `key` if its owner left. */
   successorOf(key: string): string | undefined;
-  /** To be called when members change. */
+  /** Must be called when the members change. */
   refresh(): void;
-  /** Who owned what and when, by this host's view; newest last. */
+  /** Changes of owners according to this host's membership; newest last. */
   history(): readonly OwnershipChange[];
 }
 
 /**
- * Owners are looked up for each request, and working one out costs a hash for
- * each member, so they are kept until the members change.
+ * Creates a lookup of owners. Owners are looked up for each request, and each
+ * computation hashes every member, so results are cached until members change.
  */
 export function createOwners(clock: Clock, membership: Membership): Owners {
-  const known = new Map<string, string | undefined>();
+  const cachedOwners = new Map<string, string | undefined>();
   const getCandidates = () => membership.members().filter(isUsable);
   const ownership = createOwnership({
     clock,
@@ -33,22 +33,22 @@
   });
   return {
     ownerOf(key, failureDomain) {
-      const text = `${key} ${failureDomain ?? ''}`;
-      if (known.has(text)) return known.get(text);
+      const cacheKey = `${key} ${failureDomain ?? ''}`;
+      if (cachedOwners.has(cacheKey)) return cachedOwners.get(cacheKey);
       ownership.watch(key, failureDomain);
       ownership.refresh();
       const owner = ownership.ownerOf(key, failureDomain);
-      known.set(text, owner);
+      cachedOwners.set(cacheKey, owner);
       return owner;
     },
     successorOf(key) {
-      // Not the second of `ownersOf`: that one stands in another failure domain.
+      // The second result of `ownersOf` would be in another failure domain.
       const owner = ownership.ownerOf(key);
       const others = getCandidates().filter(({hostId}) => hostId !== owner);
       return rankOwners(others, {key, count: 1}).at(0)?.hostId;
     },
     refresh() {
-      known.clear();
+      cachedOwners.clear();
       ownership.refresh();
     },
     history: () => ownership.history(),
--- a/src/serve/peer_server.ts
+++ b/src/serve/peer_server.ts
@@ -1,7 +1,7 @@
 /**
- * The server towards our own processes and operators: connect over HTTP/2 on
- * the peer address. A call shows the peer key, or the operator key for the
- * operator's service.
+ * The server for other processes of the system and for operators: Connect over
+ * HTTP/2 on the peer address. Calls must carry the peer key, or the operator
+ * key for the operator service.
  */
 
 import {
@@ -32,7 +32,7 @@
 
 const MAX_MESSAGE_BYTES = 16 * 1024 * 1024;
 
-/** Refuses calls without the key that their service asks for. */
+/** Rejects calls without the key that their service requires. */
 function createKeyCheck(keys: PeerServerKeys): Interceptor {
   return next => async request => {
     const isOperator = request.service.typeName === Operator.typeName;
--- a/src/serve/peer_services.ts
+++ b/src/serve/peer_services.ts
@@ -1,4 +1,4 @@
-/** What this process serves to its peers and to operators. */
+/** Registers the services that this process offers to peers and operators. */
 
 import type {ConnectRouter} from '@connectrpc/connect';
 import {
@@ -23,7 +23,7 @@
 } from './configuration_host.js';
 import type {GrantsHost} from './grants_host.js';
 import type {JournalHost} from './journal_host.js';
-import {createRequestPeerService} from './owner_inquiry.js';
+import {createRequestPeerService} from './owner_state_lookup.js';
 import {createOperatorService} from './operator_service.js';
 
 export interface PeerServiceParts {
--- a/src/serve/plain_upstreams.ts
+++ b/src/serve/plain_upstreams.ts
@@ -1,4 +1,4 @@
-/** The plain balancer as the request tasks see it. */
+/** Adapts the plain balancer to the port that request tasks use. */
 
 import type {
   PlainCallResult,
@@ -19,12 +19,12 @@
 };
 
 export interface PlainUpstreams extends PlainUpstreamPicker {
-  /** Follows the list of upstreams. */
+  /** Applies a new list of upstreams. */
   update(upstreams: readonly Upstream[]): void;
 }
 
 /**
- * @param onLeaving Told when an upstream answers that it is leaving.
+ * @param onLeaving Called when an upstream answers that it is leaving.
  */
 export function createPlainUpstreams(
   balancer: PlainBalancer,
@@ -33,16 +33,18 @@
   const serviceById = new Map<string, string>();
 
   function updateService(service: string, all: readonly Upstream[]): void {
-    const own = all.filter(upstream => upstream.service === service);
+    const serviceUpstreams = all.filter(
+      upstream => upstream.service === service,
+    );
     balancer.setUpstreams(
       service,
-      own.map(({id, address, failureDomain}) => ({
+      serviceUpstreams.map(({id, address, failureDomain}) => ({
         upstreamId: id,
         address,
         failureDomain,
       })),
     );
-    for (const {id, isLeaving} of own) {
+    for (const {id, isLeaving} of serviceUpstreams) {
       serviceById.set(id, service);
       if (isLeaving) balancer.markLeaving(service, id);
     }
--- a/src/serve/port_cache.ts
+++ b/src/serve/port_cache.ts
@@ -1,15 +1,15 @@
-/** Keeps one port for each address, so that its connections are used again. */
+/** Caches one port for each address, so that its connections are reused. */
 
 const MAX_PORTS = 4096;
 
-/** The same factory, but with one port an address; the oldest are dropped. */
-export function rememberByAddress<T>(
+/** Wraps a factory to create one port per address; evicts the oldest ports. */
+export function cacheByAddress<T>(
   create: (address: string) => T,
 ): (address: string) => T {
   const ports = new Map<string, T>();
   return address => {
-    const known = ports.get(address);
-    if (known !== undefined) return known;
+    const cached = ports.get(address);
+    if (cached !== undefined) return cached;
     const port = create(address);
     ports.set(address, port);
     if (ports.size > MAX_PORTS) ports.delete(ports.keys().next().value!);
--- a/src/serve/world.ts
+++ b/src/serve/process_adapters.ts
@@ -1,4 +1,4 @@
-/** Everything outside the process, each through its adapter. */
+/** Creates the adapters to the network, the platform and the system. */
 
 import type {Transport} from '@connectrpc/connect';
 import {Registry} from 'prom-client';
@@ -21,9 +21,9 @@
 import type {PlainServicePortFactory} from '../ports/plain_service.js';
 import type {Random} from '../ports/random.js';
 import type {HostListPort, ObjectStorePort, TablePort} from '../ports/table.js';
-import {rememberByAddress} from './port_cache.js';
+import {cacheByAddress} from './port_cache.js';
 
-export interface World {
+export interface ProcessAdapters {
   readonly host: HostSettings;
   readonly clock: Clock;
   readonly random: Random;
@@ -34,17 +34,17 @@
   readonly datagrams: DatagramPort;
   readonly enginePort: EnginePortFactory;
   readonly plainPort: PlainServicePortFactory;
-  /** Makes the logger of a part. */
+  /** Creates the logger of a part. */
   createLogger(part: string): Logger;
   /** Transport to the process at a peer address. */
   getTransport(address: string): Transport;
 }
 
-/** Binds the datagram socket; rejects if the address is taken. */
-export async function createWorld(
+/** Binds the datagram socket; rejects if the address is in use. */
+export async function createProcessAdapters(
   host: HostSettings,
   createLogger: (part: string) => Logger,
-): Promise<World> {
+): Promise<ProcessAdapters> {
   const clock = createSystemClock();
   const random = createSystemRandom();
   const platform = {baseUrl: host.platformUrl};
@@ -63,8 +63,8 @@
     table: meterTable(metrics, createHttpTable({clock}, platform)),
     objectStore: createHttpObjectStore({clock}, platform),
     hostList: createHttpHostList({clock}, platform),
-    enginePort: rememberByAddress(createHttpEngineFactory({clock, random})),
-    plainPort: rememberByAddress(createHttpPlainServiceFactory({clock})),
+    enginePort: cacheByAddress(createHttpEngineFactory({clock, random})),
+    plainPort: cacheByAddress(createHttpPlainServiceFactory({clock})),
     getTransport: createPeerTransports(host.peerKey).get,
   };
 }
--- a/src/serve/quarantine_facts.ts
+++ b/src/serve/quarantine_facts.ts
@@ -1,4 +1,4 @@
-/** Spreads what entries know of crashing requests, as small facts. */
+/** Exchanges facts about requests that crash engines between entries. */
 
 import {create, fromBinary, toBinary} from '@bufbuild/protobuf';
 import type {FactStore} from '../coordination/facts.js';
@@ -7,7 +7,7 @@
 
 const KEY_PREFIX = 'loss/';
 const FACT_TTL_MS = 600_000;
-/** A fact is small; more losses than this tell nothing new. */
+/** Limits the size of a fact; further losses add no information. */
 const MAX_LOSSES = 4;
 const KEY_DIGITS = 16;
 
@@ -20,9 +20,9 @@
 }
 
 export interface QuarantineFacts {
-  spread(fact: LossFact): void;
-  /** Hands what others spread to the quarantine of this process. */
-  connect(quarantine: Quarantine): void;
+  publish(fact: LossFact): void;
+  /** Delivers the facts of other entries to this process's quarantine. */
+  deliverTo(quarantine: Quarantine): void;
 }
 
 export function createQuarantineFacts(
@@ -31,7 +31,7 @@
 ): QuarantineFacts {
   let version = 0;
   return {
-    spread(fact) {
+    publish(fact) {
       version++;
       const lossIds = fact.lossIds.slice(-MAX_LOSSES);
       const message = create(LossFactSchema, {...fact, lossIds});
@@ -43,10 +43,10 @@
         reach: 'relayed',
       });
     },
-    connect(quarantine) {
-      facts.changes.listen(heard => {
-        if (!heard.key.startsWith(KEY_PREFIX)) return;
-        const fact = decode(heard.body);
+    deliverTo(quarantine) {
+      facts.changes.listen(received => {
+        if (!received.key.startsWith(KEY_PREFIX)) return;
+        const fact = decode(received.body);
         if (fact) quarantine.learn(fact);
       });
     },
--- a/src/serve/serve.ts
+++ b/src/serve/serve.ts
@@ -1,6 +1,6 @@
 /**
- * One process of the system, put together: from the platform and the members
- * over the configuration and the upstreams to the callers, as calls in order.
+ * Runs one process of the system: creates its components, connects them, starts
+ * them and stops them in order after the drain.
  */
 
 import {isKeyShown} from '../adapters/peer_connection.js';
@@ -21,7 +21,7 @@
 import {createFleet} from './fleet.js';
 import {createGrantsHost} from './grants_host.js';
 import {createJournalHost} from './journal_host.js';
-import {createOwnerInquiry} from './owner_inquiry.js';
+import {createOwnerStateLookup} from './owner_state_lookup.js';
 import {createRequestObserver, meterGrants} from './metered_requests.js';
 import {addPeerServices} from './peer_services.js';
 import {createPeerServer} from './peer_server.js';
@@ -29,10 +29,10 @@
 import {createQuarantineFacts} from './quarantine_facts.js';
 import {getHostListIntervalMs, listenToSignals} from './startup.js';
 import {createUpstreamWatch} from './upstream_watch.js';
-import {createWorld} from './world.js';
+import {createProcessAdapters} from './process_adapters.js';
 
 export interface ServeOptions {
-  /** Makes the logger of a part, with its level and format. */
+  /** Creates the logger of a part, with its level and format. */
   readonly createLogger: (part: string) => Logger;
 }
 
@@ -40,56 +40,56 @@
 const RETRY_BURST = 20;
 const MAX_PREFIX_BLOCKS = 64;
 const EXIT_DONE = 0;
-const EXIT_CUT = 1;
+const EXIT_REQUESTS_ABORTED = 1;
 
-/** Runs until the process has drained; the result is the exit code. */
+/** Runs until the process has drained; returns the exit code. */
 export async function runServe(
   host: HostSettings,
   options: ServeOptions,
 ): Promise<number> {
-  const world = await createWorld(host, options.createLogger);
-  const {clock, metrics, createLogger} = world;
+  const adapters = await createProcessAdapters(host, options.createLogger);
+  const {clock, metrics, createLogger} = adapters;
   const log = createLogger('serve');
-  const fleet = createFleet(world);
+  const fleet = createFleet(adapters);
   const {membership, owners, liveness} = fleet;
   const {facts} = membership;
 
-  const configuration = createConfigurationHost(world, fleet);
+  const configuration = createConfigurationHost(adapters, fleet);
   const {getSettings} = configuration;
   const findService = (name: string) =>
     getSettings()?.services.find(service => service.name === name);
 
   const upstreams = createUpstreamWatch(
     {
-      ...world,
+      ...adapters,
       log: createLogger('upstreams'),
       getSettings,
       onHostsRead: fleet.applyHostList,
     },
-    {readIntervalMs: () => getHostListIntervalMs(fleet.countUsable())},
+    {readIntervalMs: () => getHostListIntervalMs(fleet.countUsableMembers())},
   );
   const plainBalancer = createPlainUpstreams(
-    createPlainBalancer(world, {ownFailureDomain: host.failureDomain}),
+    createPlainBalancer(adapters, {ownFailureDomain: host.failureDomain}),
     upstreams.markLeaving,
   );
-  const grants = createGrantsHost(world, fleet, {
+  const grants = createGrantsHost(adapters, fleet, {
     getSettings,
     getUpstreams: upstreams.upstreams,
     onEngineLeaving: upstreams.markLeaving,
   });
-  const journal = createJournalHost(world, fleet, getSettings);
-  const answers = createAnswersHost(world, fleet, getSettings, key =>
-    journal.guessOwner(key),
+  const journal = createJournalHost(adapters, fleet, getSettings);
+  const answers = createAnswersHost(adapters, fleet, getSettings, key =>
+    journal.getExpectedOwner(key),
   );
 
   const quarantineFacts = createQuarantineFacts(facts, host.hostId);
-  const quarantine = createQuarantine({clock, spread: quarantineFacts.spread});
-  quarantineFacts.connect(quarantine);
+  const quarantine = createQuarantine({clock, spread: quarantineFacts.publish});
+  quarantineFacts.deliverTo(quarantine);
   const runner = createRequestRunner({
-    ...world,
+    ...adapters,
     log: createLogger('request'),
     entry: liveness.selfTag(),
-    grants: meterGrants(world, grants.choice),
+    grants: meterGrants(adapters, grants.choice),
     journal: journal.journal,
     plainBalancer,
     quarantine,
@@ -103,13 +103,13 @@
     ttftTargetMs: name => findService(name)?.targets.ttftMs,
   });
 
-  // What its owner no longer knows of is freed by the engine's home.
-  const inquiry = createOwnerInquiry(world, fleet, runner.isRunning);
+  // The home of an engine frees memory whose owner no longer runs the request.
+  const ownerStates = createOwnerStateLookup(adapters, fleet, runner.isRunning);
   const sweep = createSweep({
-    ...world,
+    ...adapters,
     log: createLogger('sweep'),
     addresses: grants.homes.engineAddresses,
-    ownerState: inquiry.ownerState,
+    ownerState: ownerStates.ownerState,
   });
 
   const drain = createDrain({
@@ -122,15 +122,15 @@
       update();
     },
   });
-  const directory = createEntryDirectory(world, membership, {
+  const directory = createEntryDirectory(adapters, membership, {
     getSettings,
     openCount: () => front.openCount(),
   });
   const front = createHttpFront({
-    ...world,
+    ...adapters,
     log: createLogger('entry'),
     runner,
-    limits: createAccountLimits({clock, entryCount: fleet.countUsable}),
+    limits: createAccountLimits({clock, entryCount: fleet.countUsableMembers}),
     getSettings: configuration.getFrontSettings,
     getEntries: directory.answer,
     isOperator: authorization =>
@@ -154,7 +154,7 @@
     plainBalancer.update(upstreams.upstreams());
     grants.update();
     journal.update();
-    metrics.setMembersAlive(fleet.countUsable());
+    metrics.setMembersAlive(fleet.countUsableMembers());
   }
 
   function applySettings(settings: Settings): void {
@@ -190,9 +190,10 @@
   configuration.onChange(applySettings);
   upstreams.onChange(update);
   membership.changes.listen(change => {
-    const goneEntries = liveness.applyChange(change);
-    for (const entry of goneEntries) grants.homes.entryGone(entry);
-    // First the homes that fall to this process, then a look at their engines.
+    const goneEntries = liveness.getGoneEntries(change);
+    for (const entry of goneEntries) grants.homes.releaseEntry(entry);
+    // The update starts the homes that this process now owns, and the sweep
+    // then covers their engines.
     update();
     if (goneEntries.length > 0) sweep.nudge();
   });
@@ -208,9 +209,9 @@
   log.info('Serving.', {hostId, callerAddress, peerAddress});
 
   const stopSignals = listenToSignals(log, drain, DRAIN_BOUND_MS);
-  const cutCount = await drain.ended;
+  const abortedCount = await drain.ended;
   stopSignals();
-  if (cutCount > 0) log.error('Requests were cut.', {count: cutCount});
+  if (abortedCount > 0) log.error('Requests were cut.', {count: abortedCount});
 
   sweep.stop();
   upstreams.stop();
@@ -222,7 +223,7 @@
   front.server.closeAllConnections();
   await front.close();
   await peerServer.close();
-  world.datagrams.close();
+  adapters.datagrams.close();
   log.info('Stopped.', {hostId});
-  return cutCount > 0 ? EXIT_CUT : EXIT_DONE;
+  return abortedCount > 0 ? EXIT_REQUESTS_ABORTED : EXIT_DONE;
 }
--- a/src/serve/startup.ts
+++ b/src/serve/startup.ts
@@ -1,20 +1,20 @@
-/** What begins with the process. */
+/** Read interval of the host list and handling of signals for `serve`. */
 
 import type {Logger} from '../ports/log.js';
 import type {Drain} from './drain.js';
 
 const MIN_READ_INTERVAL_MS = 1000;
-/** Reads of the host list a second by the whole fleet. */
+/** Limit for the reads of the host list by all processes together. */
 const FLEET_READS_PER_SECOND = 200;
 const MS_PER_SECOND = 1000;
 
-/** Time between reads of the host list, so that the fleet's rate is bounded. */
+/** Interval of host list reads; grows with the fleet to bound its total rate. */
 export function getHostListIntervalMs(hostCount: number): number {
   const perHostMs = (hostCount * MS_PER_SECOND) / FLEET_READS_PER_SECOND;
   return Math.max(MIN_READ_INTERVAL_MS, perHostMs);
 }
 
-/** SIGTERM or SIGINT drains; a second one ends the drain. */
+/** Starts the drain on SIGTERM or SIGINT; a second signal ends it. */
 export function listenToSignals(
   log: Logger,
   drain: Drain,
@@ -22,7 +22,7 @@
 ): () => void {
   function onSignal(signal: NodeJS.Signals): void {
     if (drain.isLeaving()) {
-      log.warn('A second signal ends the drain.', {signal});
+      log.warn('Second signal received; ending the drain.', {signal});
       drain.abort();
     } else {
       drain.start(boundMs);
--- a/src/serve/summary_codec.ts
+++ b/src/serve/summary_codec.ts
@@ -1,4 +1,4 @@
-/** Summaries of shards as bodies of facts. */
+/** Encodes shard summaries as bodies of facts. */
 
 import {create, fromBinary, toBinary} from '@bufbuild/protobuf';
 import {ShardSummarySchema} from '../generated/corianderbend/peer_pb.js';
@@ -14,7 +14,7 @@
   return toBinary(ShardSummarySchema, create(ShardSummarySchema, summary));
 }
 
-/** Undefined for a body that is not a summary. */
+/** Returns undefined if the body is not a valid summary. */
 export function decodeSummary(body: Uint8Array): ShardSummary | undefined {
   try {
     return fromBinary(ShardSummarySchema, body);
--- a/src/serve/upstream_watch.ts
+++ b/src/serve/upstream_watch.ts
@@ -1,7 +1,6 @@
 /**
- * Keeps the list of upstreams: reads the platform's list of hosts, follows the
- * settings, and
- * collects signs that an upstream is leaving.
+ * Maintains the list of upstreams from the platform's host list, the settings
+ * and reports that an upstream is leaving.
  */
 
 import type {Settings} from '../core/settings_types.js';
@@ -11,15 +10,15 @@
 import type {HostListPort, ListedHost} from '../ports/table.js';
 
 const READ_TIMEOUT_MS = 2000;
-/** A sign of leaving is forgotten when the host list no longer backs it. */
-const LEAVING_SIGN_LIFE_MS = 60_000;
+/** Lifetime of a leaving mark that the host list does not confirm. */
+const LEAVING_MARK_TTL_MS = 60_000;
 
 export interface UpstreamWatchHost {
   readonly clock: Clock;
   readonly log: Logger;
   readonly hostList: HostListPort;
   getSettings(): Settings | undefined;
-  /** Told of each list that was read; the members are seeded from it. */
+  /** Called with each list that was read, to seed the membership from it. */
   onHostsRead(hosts: readonly ListedHost[]): void;
 }
 
@@ -31,9 +30,9 @@
 export interface UpstreamWatch {
   start(): void;
   stop(): void;
-  /** Works the list out again, after a change of settings. */
+  /** Recomputes the list after a change of settings. */
   refresh(): void;
-  /** A sign from a source other than the host list. */
+  /** Marks an upstream as leaving, for sources other than the host list. */
   markLeaving(upstreamId: string): void;
   upstreams(): readonly Upstream[];
   onChange(listener: (upstreams: readonly Upstream[]) => void): void;
@@ -47,14 +46,14 @@
   const leavingSinceMs = new Map<string, number>();
   let hosts: readonly ListedHost[] = [];
   let current: readonly Upstream[] = [];
-  let currentText = '[]';
+  let currentJson = '[]';
   let timer: TimerHandle | undefined;
   let isStopped = false;
 
-  function hasLeavingSign(upstreamId: string): boolean {
+  function isMarkedLeaving(upstreamId: string): boolean {
     const sinceMs = leavingSinceMs.get(upstreamId);
     if (sinceMs === undefined) return false;
-    if (host.clock.nowMs() - sinceMs < LEAVING_SIGN_LIFE_MS) return true;
+    if (host.clock.nowMs() - sinceMs < LEAVING_MARK_TTL_MS) return true;
     leavingSinceMs.delete(upstreamId);
     return false;
   }
@@ -64,13 +63,13 @@
     if (!settings) return;
     const next = createUpstreamList(settings, hosts).map(upstream => ({
       ...upstream,
-      isLeaving: upstream.isLeaving || hasLeavingSign(upstream.id),
+      isLeaving: upstream.isLeaving || isMarkedLeaving(upstream.id),
     }));
-    const text = JSON.stringify(next);
-    if (text === currentText) return;
+    const json = JSON.stringify(next);
+    if (json === currentJson) return;
     current = next;
-    currentText = text;
-    host.log.info('The list of upstreams changed.', {count: next.length});
+    currentJson = json;
+    host.log.info('Upstream list changed.', {count: next.length});
     for (const listener of listeners) listener(next);
   }
 
@@ -81,29 +80,33 @@
       hosts = outcome.value;
       host.onHostsRead(hosts);
     } else {
-      // The last list stands: an outage of the platform takes no upstream away.
-      host.log.debug('The host list could not be read.', {
+      // The last list stays in use: an outage of the platform must not remove
+      // upstreams.
+      host.log.debug('Failed to read the host list.', {
         reason: outcome.reason,
       });
     }
     refresh();
   }
 
-  async function run(): Promise<void> {
+  async function readRepeatedly(): Promise<void> {
     await readHosts();
     if (isStopped) return;
-    timer = host.clock.setTimer(options.readIntervalMs(), () => void run());
+    timer = host.clock.setTimer(
+      options.readIntervalMs(),
+      () => void readRepeatedly(),
+    );
   }
 
   return {
-    start: () => void run(),
+    start: () => void readRepeatedly(),
     stop() {
       isStopped = true;
       if (timer) host.clock.clearTimer(timer);
     },
     refresh,
     markLeaving(upstreamId) {
-      if (!hasLeavingSign(upstreamId)) {
+      if (!isMarkedLeaving(upstreamId)) {
         leavingSinceMs.set(upstreamId, host.clock.nowMs());
       }
       refresh();
--- a/tests/serve/metered_requests_test.ts
+++ b/tests/serve/metered_requests_test.ts
@@ -31,7 +31,7 @@
   startInMs: 0,
 };
 
-test('queueing and a wasted prefill are recorded for account and class', async () => {
+test('queueing time and a wasted prefill are recorded by account and class', async () => {
   const clock = createVirtualClock();
   const metrics = createMetrics(new Registry());
   metrics.setKnownNames([request.service], [request.account]);
@@ -41,10 +41,10 @@
     report: () => {},
   };
   const grants = meterGrants({clock, metrics}, home);
-  const asked = grants.request(request, new AbortController().signal);
+  const outcomePromise = grants.request(request, new AbortController().signal);
   await clock.advance(50);
-  const given = await asked;
-  assert.equal(given.kind, 'granted');
+  const outcome = await outcomePromise;
+  assert.equal(outcome.kind, 'granted');
   grants.report(grant, {
     kind: 'prefill-done',
     kvSizeBytes: 1,
--- a/tests/serve/peer_calls_test.ts
+++ b/tests/serve/peer_calls_test.ts
@@ -82,10 +82,10 @@
   return address;
 }
 
-function createHome(seen: GrantRequest[]): HomePort {
+function createHome(receivedRequests: GrantRequest[]): HomePort {
   return {
     request(wanted) {
-      seen.push(wanted);
+      receivedRequests.push(wanted);
       return Promise.resolve(grant);
     },
     report: () => {},
@@ -106,23 +106,23 @@
   end: () => Promise.resolve(true),
 };
 
-test('a grant crosses between processes whatever part of a millisecond is left', async () => {
-  // Every model request was refused as having no usable engine, and yet the
-  // home was up. The entry asked it with what was left of the wait, a fraction
-  // of a millisecond, and connect's timeout header takes whole ones only.
-  const seen: GrantRequest[] = [];
-  const address = await startServer(createHome(seen), journal);
+test('a grant request is accepted when its remaining time includes a fraction of a millisecond', async () => {
+  // Guards against refusing every model request for lack of a usable engine
+  // while the home is up: the remaining wait time has a fraction of a
+  // millisecond, and Connect's timeout header accepts whole milliseconds only.
+  const receivedRequests: GrantRequest[] = [];
+  const address = await startServer(createHome(receivedRequests), journal);
   const transport = createPeerTransport(address, KEYS.peerKey);
   const clock = createSystemClock();
   const grants = createPeerGrants({clock}, transport, SHARD);
   const outcome = await grants.request(request, new AbortController().signal);
   assert.equal(outcome.kind, 'granted');
   assert.equal(outcome.kind === 'granted' && outcome.startInMs, 2.5);
-  assert.equal(seen[0].requestClass, 'patient');
-  assert.deepEqual([...seen[0].prefixHashes], request.prefixHashes);
+  assert.equal(receivedRequests[0].requestClass, 'patient');
+  assert.deepEqual([...receivedRequests[0].prefixHashes], request.prefixHashes);
 });
 
-test('a journal answer crosses between processes as it was stored', async () => {
+test('a journal answer is returned to another process as it was stored', async () => {
   const address = await startServer(createHome([]), journal);
   const transport = createPeerTransport(address, KEYS.peerKey);
   const outcome = await createPeerJournal(transport).begin(intent);
@@ -136,18 +136,18 @@
   );
 });
 
-test('a home that is not here and a wrong key are refusals, not grants', async () => {
+test('a call to a home of another process or with a wrong key is refused', async () => {
   const address = await startServer(createHome([]), journal);
   const clock = createSystemClock();
   const {signal} = new AbortController();
-  const ask = (key: string, shardId: string) =>
+  const requestGrant = (key: string, shardId: string) =>
     createPeerGrants(
       {clock},
       createPeerTransport(address, key),
       shardId,
     ).request(request, signal);
-  const moved = await ask(KEYS.peerKey, 'other/all/0');
+  const moved = await requestGrant(KEYS.peerKey, 'other/all/0');
   assert.equal(moved.kind === 'refused' && moved.reason, 'home-moved');
-  const unknown = await ask('wrong-key', SHARD);
+  const unknown = await requestGrant('wrong-key', SHARD);
   assert.equal(unknown.kind === 'refused' && unknown.reason, 'unreachable');
 });
