--- a/src/cli/cli_reference.ts
+++ b/src/cli/cli_reference.ts
@@ -1,4 +1,4 @@
-/** The operators' page of the command line, made from the table of commands. */
+/** Renders the command line reference from the list of commands. */
 
 import type {Command} from './command.js';
 import {formatCommandHelp, formatOverview} from './help.js';
--- a/src/cli/command.ts
+++ b/src/cli/command.ts
@@ -1,4 +1,4 @@
-/** What a command of the program is, and what it may use of the world. */
+/** Types and helpers for commands, and the host interface that they use. */
 
 import type {ParseArgsConfig} from 'node:util';
 import ModernError from 'modern-errors';
@@ -7,27 +7,27 @@
 export const exitCodes = {done: 0, refused: 1, usage: 2} as const;
 
 export const CliError = ModernError.subclass('CliError');
-/** The command line itself is wrong; exit code 2. */
+/** The command line is invalid; exit code 2. */
 export const UsageError = CliError.subclass('UsageError');
-/** The command was understood and could not be done; exit code 1. */
+/** The command failed or was refused; exit code 1. */
 export const RefusedError = CliError.subclass('RefusedError');
 
-/** What a command may use of the world. */
+/** Access to files, the environment and output for commands. */
 export interface CliHost {
-  /** Throws `RefusedError` with a short sentence. */
+  /** Throws `RefusedError` with a short message if the file cannot be read. */
   readFile(path: string): string;
   getEnvironment(name: string): string | undefined;
   writeOut(text: string): void;
   writeError(text: string): void;
-  /** A fresh identifier. */
+  /** Returns a new unique identifier. */
   nextId(): string;
-  /** Name of the person at the terminal. */
+  /** Returns the name of the operating system user. */
   getUserName(): string;
 }
 
 type ParseArgsOptions = NonNullable<ParseArgsConfig['options']>;
 
-/** One flag, with what help says of it. */
+/** A flag and its help text. */
 export type FlagSpec = ParseArgsOptions[string] & {
   readonly help: string;
   /** Name of the value in help, such as `FILE`. */
@@ -36,7 +36,7 @@
 
 export type FlagSpecs = Readonly<Record<string, FlagSpec>>;
 
-/** Flags and positionals as given. */
+/** Flags and positional arguments of a command line. */
 export interface ParsedArguments {
   readonly positionals: readonly string[];
   getText(flag: string): string | undefined;
@@ -45,18 +45,18 @@
 }
 
 export interface Command {
-  /** One word or two, such as `config check`. */
+  /** One or two words, such as `config check`. */
   readonly name: string;
   readonly summary: string;
-  /** Positionals as help shows them; empty when there are none. */
+  /** Positional arguments as shown in help; empty if there are none. */
   readonly positionals: string;
   readonly flags: FlagSpecs;
-  /** All that follows goes to `run` unread, for commands that parse it. */
+  /** Passes all arguments unparsed to `run`, for commands that parse them. */
   readonly takesRawArguments?: boolean;
   run(args: ParsedArguments, host: CliHost): Promise<number>;
 }
 
-/** The value of a flag that must be there. */
+/** Returns the value of a required flag. */
 export function requireText(args: ParsedArguments, flag: string): string {
   const value = args.getText(flag);
   if (value === undefined) {
@@ -65,7 +65,7 @@
   return value;
 }
 
-/** A whole number from a flag, or undefined without it. */
+/** Returns the whole number in a flag, or undefined if the flag is absent. */
 export function readCount(
   args: ParsedArguments,
   flag: string,
--- a/src/cli/command_line.ts
+++ b/src/cli/command_line.ts
@@ -1,4 +1,4 @@
-/** Finds the command, parses its flags, and turns errors into exit codes. */
+/** Finds the command, parses its flags, and converts errors to exit codes. */
 
 import {parseArgs} from 'node:util';
 import {formatSuggestion} from '../core/did_you_mean.js';
@@ -12,7 +12,7 @@
 } from './command.js';
 import {formatCommandHelp, formatOverview} from './help.js';
 
-/** Runs one command line; the result is the exit code. */
+/** Runs one command line and returns the exit code. */
 export async function runCommandLine(
   argv: readonly string[],
   commands: readonly Command[],
@@ -61,8 +61,8 @@
   const group = commands.filter(command =>
     command.name.startsWith(`${words.join(' ')} `),
   );
-  const found = group.length > 0 ? group : [findCommand(words, commands)];
-  host.writeOut(found.map(formatCommandHelp).join('\n'));
+  const matches = group.length > 0 ? group : [findCommand(words, commands)];
+  host.writeOut(matches.map(formatCommandHelp).join('\n'));
   return exitCodes.done;
 }
 
@@ -70,34 +70,38 @@
   words: readonly string[],
   commands: readonly Command[],
 ): Command {
-  const one = words[0];
-  const two = words.slice(0, 2).join(' ');
-  const found =
-    commands.find(command => command.name === two) ??
-    commands.find(command => command.name === one);
-  if (found) return found;
-  const group = commands.filter(command => command.name.startsWith(`${one} `));
-  if (group.length > 0) throw createGroupError(one, words[1], group);
+  const firstWord = words[0];
+  const twoWords = words.slice(0, 2).join(' ');
+  const exactMatch =
+    commands.find(command => command.name === twoWords) ??
+    commands.find(command => command.name === firstWord);
+  if (exactMatch) return exactMatch;
+  const group = commands.filter(command =>
+    command.name.startsWith(`${firstWord} `),
+  );
+  if (group.length > 0) throw createGroupError(firstWord, words[1], group);
   const firstWords = commands.map(command => command.name.split(' ', 1)[0]);
-  const suggestion = formatSuggestion(one, [...firstWords, 'help']);
+  const suggestion = formatSuggestion(firstWord, [...firstWords, 'help']);
   throw new UsageError(
-    `Unknown command '${one}'.${suggestion} 'corianderbend help' lists them.`,
+    `Unknown command '${firstWord}'.${suggestion} 'corianderbend help' lists them.`,
   );
 }
 
 function createGroupError(
-  first: string,
-  second: string | undefined,
+  groupName: string,
+  subcommand: string | undefined,
   group: readonly Command[],
 ): Error {
-  const seconds = group.map(command => command.name.slice(first.length + 1));
-  const known = `Known: ${seconds.join(', ')}.`;
-  if (second === undefined || second.startsWith('-')) {
-    return new UsageError(`'${first}' needs a second word. ${known}`);
+  const subcommands = group.map(command =>
+    command.name.slice(groupName.length + 1),
+  );
+  const known = `Known: ${subcommands.join(', ')}.`;
+  if (subcommand === undefined || subcommand.startsWith('-')) {
+    return new UsageError(`'${groupName}' needs a second word. ${known}`);
   }
-  const suggestion = formatSuggestion(second, seconds);
+  const suggestion = formatSuggestion(subcommand, subcommands);
   return new UsageError(
-    `Unknown command '${first} ${second}'.${suggestion} ${known}`,
+    `Unknown command '${groupName} ${subcommand}'.${suggestion} ${known}`,
   );
 }
 
@@ -145,7 +149,7 @@
       strict: true,
     });
   } catch (error) {
-    // parseArgs names the flag and what is wrong with it.
+    // The message of parseArgs names the flag and the problem.
     const message = error instanceof Error ? error.message : String(error);
     throw new UsageError(message.split('\n', 1)[0]);
   }
@@ -160,7 +164,7 @@
   };
 }
 
-/** A user's mistake shows one sentence; only our own faults show a stack. */
+/** Prints one sentence for a usage error or refusal, and the stack for a bug. */
 function reportError(error: unknown, host: CliHost): number {
   if (error instanceof UsageError) {
     host.writeError(`corianderbend: ${error.message}\n`);
--- a/src/cli/commands.ts
+++ b/src/cli/commands.ts
@@ -1,4 +1,4 @@
-/** The table of commands, in the order that help shows. */
+/** All commands, in the order in which help lists them. */
 
 import type {Command} from './command.js';
 import {configCheck, configRender} from './commands/config_commands.js';
--- a/src/cli/commands/config_commands.ts
+++ b/src/cli/commands/config_commands.ts
@@ -1,4 +1,4 @@
-/** `config check`, `config render`: they read files only. */
+/** The commands `config check` and `config render`, which only read files. */
 
 import {stringify} from 'yaml';
 import {
--- a/src/cli/commands/other_commands.ts
+++ b/src/cli/commands/other_commands.ts
@@ -1,4 +1,4 @@
-/** Commands of a line or two. */
+/** The commands `bench` and `version`. */
 
 import {exitCodes, jsonFlag, type Command} from '../command.js';
 import {version} from '../version.js';
--- a/src/cli/commands/process_commands.ts
+++ b/src/cli/commands/process_commands.ts
@@ -1,4 +1,4 @@
-/** `status` and `drain` of a serve process. */
+/** The commands `status` and `drain`, which call a serve process. */
 
 import {stringify} from 'yaml';
 import {
--- a/src/cli/commands/relay_command.ts
+++ b/src/cli/commands/relay_command.ts
@@ -1,11 +1,11 @@
-/** `relay`: one process of the relay on the users' platform. */
+/** Runs one relay process on the platform. */
 
 import {readFileSync} from 'node:fs';
 import {parseArgs} from 'node:util';
 import {createPlatformAdapters} from '../../../platform/platform_adapters.js';
 import {createLineLoggers, type LineSink} from '../../adapters/line_logger.js';
 import {createSystemClock} from '../../adapters/system_clock.js';
-import type {HeldSignals} from '../held_signals.js';
+import type {SignalBuffer} from '../signal_buffer.js';
 import type {Logger, LogLevel} from '../../ports/log.js';
 import {createRelayMetrics} from '../../relay/relay_metrics.js';
 import {startRelay} from '../../relay/relay_process.js';
@@ -18,14 +18,14 @@
 const USAGE =
   'Usage: corianderbend relay --host-file FILE [--log-level LEVEL]\n';
 const EXIT_DONE = 0;
-const EXIT_CUT = 1;
+const EXIT_REQUESTS_ABORTED = 1;
 const EXIT_USAGE = 2;
 const LEVELS: readonly string[] = ['error', 'warn', 'info', 'debug'];
 
-/** Runs until the process has left; the result is the exit code. */
+/** Runs until the relay has shut down; returns the exit code. */
 export async function runRelayCommand(
   words: readonly string[],
-  signals: HeldSignals,
+  signalBuffer: SignalBuffer,
 ): Promise<number> {
   const {values} = parseArgs({
     args: [...words],
@@ -44,7 +44,7 @@
     return EXIT_USAGE;
   }
   const settings = await readSettings(file);
-  return settings ? run(settings, file, level, signals) : EXIT_USAGE;
+  return settings ? run(settings, file, level, signalBuffer) : EXIT_USAGE;
 }
 
 function isLevel(text: string): text is LogLevel {
@@ -68,7 +68,7 @@
   settings: RelaySettings,
   file: string,
   level: LogLevel,
-  signals: HeldSignals,
+  signalBuffer: SignalBuffer,
 ): Promise<number> {
   const metrics = createRelayMetrics();
   const createLogger = createLineLoggers(
@@ -80,39 +80,42 @@
     {hostId: settings.hostId, level},
   );
   const log = createLogger('process');
-  keepRunning(log);
+  logUnhandledErrors(log);
   const relay = await startRelay({
     settings,
     adapters: createPlatformAdapters(),
     metrics,
     createLogger,
   });
-  signals.handTo({
+  signalBuffer.forwardTo({
     SIGTERM: relay.leave,
     SIGINT: relay.leave,
     SIGHUP: () => void reload(file, settings, log),
   });
-  const cutCount = await relay.ended;
-  return cutCount > 0 ? EXIT_CUT : EXIT_DONE;
+  const abortedCount = await relay.ended;
+  return abortedCount > 0 ? EXIT_REQUESTS_ABORTED : EXIT_DONE;
 }
 
 /**
- * An error that nobody caught, in most cases of a socket that broke at an odd
- * moment, must not end the requests of all other callers.
+ * Logs uncaught errors instead of ending the process, which would abort the
+ * requests of all other callers. Most are unexpected socket failures.
  */
-function keepRunning(log: Logger): void {
+function logUnhandledErrors(log: Logger): void {
   const report = (error: unknown) =>
-    log.error('An error was not handled.', {
+    log.error('Unhandled error.', {
       reason: error instanceof Error ? error.stack : String(error),
     });
   process.on('uncaughtException', report);
   process.on('unhandledRejection', report);
 }
 
-/** Addresses and names of a running process do not change; others are told. */
+/**
+ * Reads the settings again and logs which of them changed. The running process
+ * keeps those in use, since its addresses and names cannot change.
+ */
 async function reload(
   file: string,
-  inForce: RelaySettings,
+  current: RelaySettings,
   log: Logger,
 ): Promise<void> {
   try {
@@ -120,7 +123,7 @@
     const changed = settings
       ? (Object.keys(settings) as Array<keyof RelaySettings>).filter(
           name =>
-            JSON.stringify(settings[name]) !== JSON.stringify(inForce[name]),
+            JSON.stringify(settings[name]) !== JSON.stringify(current[name]),
         )
       : [];
     log.info('Settings read again.', {
@@ -128,13 +131,13 @@
       changed: changed.join(',') || undefined,
     });
   } catch (error) {
-    log.warn('Settings cannot be read.', {reason: String(error)});
+    log.warn('Failed to read the settings.', {reason: String(error)});
   }
 }
 
 function createStandardOutput(): LineSink {
   const {stdout} = process;
-  // A reader that went away must not end the process.
+  // The process must keep running if the reader of its output ends.
   stdout.on('error', () => undefined);
   return {
     write: line => stdout.write(line),
--- a/src/cli/commands/relay_commands.ts
+++ b/src/cli/commands/relay_commands.ts
@@ -1,18 +1,22 @@
-/** Commands for the relay on the users' platform. */
+/** The commands `relay` and `explain`. */
 
 import {exitCodes, UsageError, type Command} from '../command.js';
-import {findStory, formatStory, parseLogLine} from '../request_story.js';
-import {holdSignals} from '../held_signals.js';
+import {
+  findTimeline,
+  formatTimeline,
+  parseLogLine,
+} from '../request_timeline.js';
+import {bufferSignals} from '../signal_buffer.js';
 import {RELAY_SUMMARY, runRelayCommand} from './relay_command.js';
 
-/** Its words are parsed by the command itself, which `main` also calls. */
+/** `runRelayCommand` parses the arguments, since `main` also calls it. */
 export const relay: Command = {
   name: 'relay',
   summary: RELAY_SUMMARY,
   positionals: '--host-file FILE',
   flags: {},
   takesRawArguments: true,
-  run: args => runRelayCommand(args.positionals, holdSignals(process)),
+  run: args => runRelayCommand(args.positionals, bufferSignals(process)),
 };
 
 export const explain: Command = {
@@ -28,12 +32,12 @@
     const lines = files
       .flatMap(file => host.readFile(file).split('\n'))
       .flatMap(text => parseLogLine(text) ?? []);
-    const story = findStory(lines, requestId);
-    if (story.length === 0) {
+    const timeline = findTimeline(lines, requestId);
+    if (timeline.length === 0) {
       host.writeError(`No line of ${lines.length} names ${requestId}.\n`);
       return exitCodes.refused;
     }
-    host.writeOut(formatStory(story));
+    host.writeOut(formatTimeline(timeline));
     return exitCodes.done;
   },
 };
--- a/src/cli/commands/revision_commands.ts
+++ b/src/cli/commands/revision_commands.ts
@@ -1,4 +1,7 @@
-/** `config apply|show|history|rollback`: revisions, by a serve process. */
+/**
+ * The commands `config apply`, `show`, `history` and `rollback`, which read and
+ * change configuration revisions through a serve process.
+ */
 
 import {
   checkSettingsDocument,
@@ -68,7 +71,8 @@
   host: CliHost,
 ): Promise<number> {
   const basedOn =
-    readCount(args, 'based-on') ?? (await getHeadNumber(client, args));
+    readCount(args, 'based-on') ??
+    (await getCurrentRevisionNumber(client, args));
   const changeId = args.getText('change-id') ?? host.nextId();
   const reply = await callOperator(
     args,
@@ -91,12 +95,12 @@
   return code;
 }
 
-async function getHeadNumber(
+async function getCurrentRevisionNumber(
   client: OperatorClient,
   args: ParsedArguments,
 ): Promise<number> {
-  const head = await callOperator(args, client.show({revision: 0}));
-  return head.found ? (head.revision?.revision ?? 0) : 0;
+  const current = await callOperator(args, client.show({revision: 0}));
+  return current.found ? (current.revision?.revision ?? 0) : 0;
 }
 
 type ApplyFormatter = (reply: ApplyReply, changeId: string) => string;
--- a/src/cli/commands/scenario_command.ts
+++ b/src/cli/commands/scenario_command.ts
@@ -1,4 +1,4 @@
-/** `scenario run`: stories in virtual time. */
+/** The command `scenario run`, which runs test scenarios in virtual time. */
 
 import {runScenario} from '../../scenario/scenario_runner.js';
 import {exitCodes, jsonFlag, UsageError, type Command} from '../command.js';
--- a/src/cli/commands/serve_command.ts
+++ b/src/cli/commands/serve_command.ts
@@ -1,4 +1,4 @@
-/** `serve`: one process of the system. */
+/** The command `serve`, which runs one process of the system. */
 
 import {
   createLoggerFactory,
--- a/src/cli/commands/stand_in_command.ts
+++ b/src/cli/commands/stand_in_command.ts
@@ -1,4 +1,7 @@
-/** `stand-in platform|engine|service`: what stands around the router, small. */
+/**
+ * The commands `stand-in platform`, `stand-in engine` and `stand-in service`,
+ * which run small replacements of the external systems for local trials.
+ */
 
 import {
   runStandIn,
--- a/src/cli/help.ts
+++ b/src/cli/help.ts
@@ -1,4 +1,4 @@
-/** The help texts, from the table of commands. */
+/** Formats help texts from the definitions of commands. */
 
 import type {Command, FlagSpec} from './command.js';
 
--- a/src/cli/main.ts
+++ b/src/cli/main.ts
@@ -1,30 +1,30 @@
-/** The program `corianderbend`. */
+/** Entry point of the program `corianderbend`. */
 
-import {holdSignals} from './held_signals.js';
+import {bufferSignals} from './signal_buffer.js';
 
 /**
- * A command that has ended may leave pooled connections and their timers,
- * which would keep the process alive for half a minute. What it has written
- * gets this long to go out.
+ * Time for output to be flushed before the process exits after a command. The
+ * exit is explicit because pooled connections and their timers would keep the
+ * process alive for half a minute.
  */
 const EXIT_GRACE_MS = 300;
 const EXIT_FAILED = 1;
 
-/** A pipe that the reader closed, as in `corianderbend help | head -1`. */
+/** Exits if the reader closes the pipe, as in `corianderbend help | head -1`. */
 process.stdout.on('error', (error: NodeJS.ErrnoException) => {
   if (error.code !== 'EPIPE') throw error;
   process.exit(0);
 });
 
 /**
- * The relay loads only what it serves with; all other commands, with their
- * parsers and checkers, load when one of them is called.
+ * Runs the command that the arguments name. Commands are imported lazily, so
+ * that a relay process does not load the modules of all other commands.
  */
 async function run(words: readonly string[]): Promise<number> {
   if (words[0] === 'relay') {
-    const signals = holdSignals(process);
+    const signalBuffer = bufferSignals(process);
     const {runRelayCommand} = await import('./commands/relay_command.js');
-    return runRelayCommand(words.slice(1), signals);
+    return runRelayCommand(words.slice(1), signalBuffer);
   }
   const {runCommandLine} = await import('./command_line.js');
   const {commands} = await import('./commands.js');
@@ -32,14 +32,14 @@
   return runCommandLine(words, commands, createProcessHost());
 }
 
-function end(code: number): void {
+function exitSoon(code: number): void {
   process.exitCode = code;
   setTimeout(() => process.exit(), EXIT_GRACE_MS).unref();
 }
 
-run(process.argv.slice(2)).then(end, (error: unknown) => {
-  // One that could not start must end, so that it is started again: with open
-  // sockets it would live on and serve nobody.
+run(process.argv.slice(2)).then(exitSoon, (error: unknown) => {
+  // Open sockets would keep a process alive that failed to start and serves
+  // nothing. It must exit to be restarted.
   const reason = error instanceof Error ? error.stack : String(error);
   process.stderr.write(`corianderbend: ${reason}\n`);
   process.exit(EXIT_FAILED);
--- a/src/cli/operator_client.ts
+++ b/src/cli/operator_client.ts
@@ -1,4 +1,4 @@
-/** Talks to a serve process as an operator, over connect. */
+/** Calls the operator service of a serve process over Connect. */
 
 import {
   Code,
@@ -70,7 +70,7 @@
   );
 }
 
-const CODE_SENTENCES: ReadonlyMap<Code, string> = new Map([
+const CODE_MESSAGES: ReadonlyMap<Code, string> = new Map([
   [Code.Unauthenticated, 'the operator key was refused'],
   [Code.PermissionDenied, 'the operator key was refused'],
   [Code.Unavailable, 'it cannot be reached'],
@@ -78,7 +78,7 @@
   [Code.Unimplemented, 'it does not know this command'],
 ]);
 
-/** Waits for a call; its failure becomes one sentence. */
+/** Waits for a call and converts a failure to a one-sentence `RefusedError`. */
 export async function callOperator<T>(
   args: ParsedArguments,
   call: Promise<T>,
@@ -87,7 +87,7 @@
     return await call;
   } catch (error) {
     const failure = ConnectError.from(error);
-    const reason = CODE_SENTENCES.get(failure.code) ?? failure.rawMessage;
+    const reason = CODE_MESSAGES.get(failure.code) ?? failure.rawMessage;
     const peer = args.getText('peer') ?? '';
     throw new RefusedError(`${peer}: ${reason}.`);
   }
--- a/src/cli/process_host.ts
+++ b/src/cli/process_host.ts
@@ -1,4 +1,4 @@
-/** The world of a command, as this process has it. */
+/** The host interface for commands, backed by the Node.js process. */
 
 import {readFileSync} from 'node:fs';
 import {userInfo} from 'node:os';
--- a/src/cli/request_story.ts
+++ b/src/cli/request_timeline.ts
@@ -1,13 +1,13 @@
 /**
- * The lines of one request from the logs of many hosts, in order, with what
- * the hosts learned of its upstreams meanwhile. Pure.
+ * Extracts the timeline of one request from the logs of many hosts, with the
+ * log lines about its upstreams from the same time. The functions are pure.
  *
- * Clocks of hosts differ: the time of day orders lines of different hosts, and
- * each host's own lines keep the order of its steady clock. Lines that were
- * left out or cut are passed over.
+ * Clocks of hosts differ, so lines of one host are ordered by its monotonic
+ * clock and lines of different hosts by the time of day. Missing and truncated
+ * lines are tolerated.
  */
 
-/** One structured line, with the fields that every line has. */
+/** One structured log line; `fields` has all fields that not every line has. */
 export interface LogLine {
   readonly wallMs: number;
   readonly steadyMs: number;
@@ -18,11 +18,11 @@
   readonly fields: Readonly<Record<string, unknown>>;
 }
 
-/** Lines about upstreams count this long before the request's first line. */
-const BEFORE_MS = 5_000;
-const AFTER_MS = 1_000;
+/** Lines about upstreams are included from this long before the request. */
+const UPSTREAM_LINES_BEFORE_MS = 5_000;
+const UPSTREAM_LINES_AFTER_MS = 1_000;
 
-/** Reads a line; anything before its opening brace is passed over. */
+/** Parses a log line and skips any text before its opening brace. */
 export function parseLogLine(text: string): LogLine | undefined {
   const start = text.indexOf('{');
   if (start < 0) return undefined;
@@ -42,7 +42,7 @@
       fields,
     };
   } catch {
-    // A line that was cut at the end of a file, or not ours.
+    // A truncated line at the end of a file, or a line of another program.
     return undefined;
   }
 }
@@ -52,8 +52,8 @@
   return a.wallMs - b.wallMs;
 }
 
-/** Upstreams that the request's lines name. */
-function upstreamsOf(lines: readonly LogLine[]): ReadonlySet<string> {
+/** Returns the upstreams that the log lines name. */
+function getUpstreams(lines: readonly LogLine[]): ReadonlySet<string> {
   const names = new Set<string>();
   for (const {fields} of lines) {
     for (const key of ['upstream', 'prefill', 'upstreams']) {
@@ -65,17 +65,21 @@
   return names;
 }
 
-/** The lines that tell what became of the request, in order. */
-export function findStory(
+/** Returns the ordered log lines of a request and of its upstreams. */
+export function findTimeline(
   lines: readonly LogLine[],
   requestId: string,
 ): readonly LogLine[] {
-  const own = lines.filter(({fields}) => fields.request === requestId);
-  if (own.length === 0) return [];
-  const fromMs = Math.min(...own.map(({wallMs}) => wallMs)) - BEFORE_MS;
-  const untilMs = Math.max(...own.map(({wallMs}) => wallMs)) + AFTER_MS;
-  const upstreams = upstreamsOf(own);
-  const around = lines.filter(
+  const requestLines = lines.filter(({fields}) => fields.request === requestId);
+  if (requestLines.length === 0) return [];
+  const fromMs =
+    Math.min(...requestLines.map(({wallMs}) => wallMs)) -
+    UPSTREAM_LINES_BEFORE_MS;
+  const untilMs =
+    Math.max(...requestLines.map(({wallMs}) => wallMs)) +
+    UPSTREAM_LINES_AFTER_MS;
+  const upstreams = getUpstreams(requestLines);
+  const upstreamLines = lines.filter(
     ({fields, part, wallMs}) =>
       fields.request === undefined &&
       ['upstreams', 'crashes', 'orders'].includes(part) &&
@@ -83,13 +87,13 @@
       wallMs >= fromMs &&
       wallMs <= untilMs,
   );
-  return [...own, ...around].sort(compareLines);
+  return [...requestLines, ...upstreamLines].sort(compareLines);
 }
 
-/** One line for people: time since the first, host, part, what and why. */
-export function formatStory(story: readonly LogLine[]): string {
-  const firstMs = story.at(0)?.wallMs ?? 0;
-  return story
+/** Formats each log line as relative time, host, part, message and fields. */
+export function formatTimeline(timeline: readonly LogLine[]): string {
+  const firstMs = timeline.at(0)?.wallMs ?? 0;
+  return timeline
     .map(({wallMs, host, part, message, fields}) => {
       const since = `${String(wallMs - firstMs).padStart(6)} ms`;
       const shown = Object.entries(fields)
--- a/src/cli/settings_files.ts
+++ b/src/cli/settings_files.ts
@@ -1,4 +1,4 @@
-/** Base and overlay files as flags name them. */
+/** Reads the base and overlay files that the flags name. */
 
 import {formatDiagnostics, type Diagnostic} from '../core/diagnostics.js';
 import type {SettingsDocument} from '../core/settings_document.js';
@@ -46,7 +46,7 @@
   return {file, text: host.readFile(file)};
 }
 
-/** Prints diagnostics and their count; the result is the exit code. */
+/** Prints diagnostics and their count; returns the exit code. */
 export function reportDiagnostics(
   diagnostics: readonly Diagnostic[],
   host: CliHost,
--- a/src/cli/version.ts
+++ b/src/cli/version.ts
@@ -1,2 +1,2 @@
-/** Version of the program; `package.json` has the same. */
+/** Version of the program; must match `package.json`. */
 export const version = '0.1.0';
--- a/tests/cli/command_line_test.ts
+++ b/tests/cli/command_line_test.ts
@@ -54,7 +54,7 @@
   '--base examples/tammeoja/base.yaml ' +
   '--overlay tartu-piirkond=examples/tammeoja/sites/tartu-piirkond.yaml';
 
-test('a mistake on the command line gets one sentence and exit code 2', async () => {
+test('a usage error prints one sentence and exits with code 2', async () => {
   const lines = [
     '',
     'confg check',
@@ -76,14 +76,14 @@
   await assertBaseline('cli/usage_mistakes', transcripts.join('\n'));
 });
 
-test('the page of the command line is what the commands say', async () => {
+test('the command line reference matches the definitions of the commands', async () => {
   await assertSourceFile(
     path.join('docs', 'operators', 'cli.md'),
     renderCliReference(commands),
   );
 });
 
-test('settings checked and rendered', async () => {
+test('config check and config render print diagnostics and settings', async () => {
   const lines = [
     `config check ${TAMMEOJA}`,
     `config check ${TAMMEOJA} --json`,
@@ -97,13 +97,13 @@
   await assertBaseline('cli/settings', transcripts.join('\n'));
 });
 
-/** Flags are kept, but nothing is started or called. */
+/** The commands with their flags, but without any effect when run. */
 const harmlessCommands: readonly Command[] = commands.map(command => ({
   ...command,
   run: async () => 0,
 }));
 
-test('no command line crashes; each ends with a code of the three', async () => {
+test('no command line causes a crash or an unknown exit code', async () => {
   const words = [
     ...commands.flatMap(command => command.name.split(' ')),
     ...commands.flatMap(command =>
--- a/tests/cli/failed_start_test.ts
+++ b/tests/cli/failed_start_test.ts
@@ -6,12 +6,14 @@
 import path from 'node:path';
 import {test} from 'node:test';
 
-test('a relay that cannot open its ports ends, so that it is started again', async () => {
-  // An entry lives for hours and serves nobody: another process still had its
-  // port, and the open datagram socket kept the process alive.
-  const taken = net.createServer();
-  await new Promise<void>(resolve => taken.listen(0, '127.0.0.1', resolve));
-  const {port} = taken.address() as net.AddressInfo;
+test('a relay exits if it cannot open its ports', async () => {
+  // Guards against an entry that runs for hours without serving: its port is
+  // in use by another process, and its open datagram socket keeps it alive.
+  const occupyingServer = net.createServer();
+  await new Promise<void>(resolve =>
+    occupyingServer.listen(0, '127.0.0.1', resolve),
+  );
+  const {port} = occupyingServer.address() as net.AddressInfo;
   const folder = mkdtempSync(path.join(os.tmpdir(), 'relay-'));
   const hostFile = path.join(folder, 'host.yaml');
   const free = '127.0.0.1:0';
@@ -41,7 +43,7 @@
   const timer = setTimeout(() => child.kill('SIGKILL'), 10_000);
   const code = await new Promise(resolve => child.on('exit', resolve));
   clearTimeout(timer);
-  taken.close();
+  occupyingServer.close();
   rmSync(folder, {recursive: true});
   assert.equal(code, 1);
 });
--- a/tests/cli/request_story_test.ts
+++ b/tests/cli/request_timeline_test.ts
@@ -1,10 +1,10 @@
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
 import {
-  findStory,
-  formatStory,
+  findTimeline,
+  formatTimeline,
   parseLogLine,
-} from '../../src/cli/request_story.js';
+} from '../../src/cli/request_timeline.js';
 
 function line(
   time: string,
@@ -18,9 +18,9 @@
   return JSON.stringify({...base, level: 'info', part, message, ...fields});
 }
 
-test('a request is told from the lines of many hosts, and its engine with it', () => {
-  // An engineer has an id and the logs of two hosts, whose clocks differ, with
-  // a torn line among them: the engine died, as the other host saw first.
+test('the timeline of a request has its lines and those of its engine from all hosts', () => {
+  // The engine fails, which the other host notices first. The clocks of the two
+  // hosts differ, and one log line is truncated.
   const texts = [
     line('05.000', 'b', 900, 'upstreams', 'Upstream unreachable.', {
       upstream: 'e1',
@@ -51,9 +51,9 @@
     )}`,
   ];
   const lines = texts.flatMap(text => parseLogLine(text) ?? []);
-  const story = findStory(lines, 'r1');
+  const timeline = findTimeline(lines, 'r1');
   assert.deepEqual(
-    story.map(({message}) => message),
+    timeline.map(({message}) => message),
     [
       'Upstream unreachable.',
       'Placed.',
@@ -61,6 +61,9 @@
       'Request not answered.',
     ],
   );
-  assert.match(formatStory(story), / {3}400 ms {2}a {2}\[request\].*end=cut/);
-  assert.deepEqual(findStory(lines, 'unknown'), []);
+  assert.match(
+    formatTimeline(timeline),
+    / {3}400 ms {2}a {2}\[request\].*end=cut/,
+  );
+  assert.deepEqual(findTimeline(lines, 'unknown'), []);
 });
--- a/tests/cli/held_signals_test.ts
+++ b/tests/cli/signal_buffer_test.ts
@@ -1,18 +1,18 @@
 import assert from 'node:assert/strict';
 import {EventEmitter} from 'node:events';
 import {test} from 'node:test';
-import {holdSignals} from '../../src/cli/held_signals.js';
+import {bufferSignals} from '../../src/cli/signal_buffer.js';
 
-test('a signal that comes while a process starts is not lost and does not end it', () => {
-  // A host that was just started dies by a SIGHUP that only says that its
-  // settings changed, since nothing handles signals before all is loaded.
+test('a signal during the start of a process is neither lost nor fatal', () => {
+  // Guards against a process that ends during its start on a SIGHUP for changed
+  // settings, because no signal handler exists until all modules are loaded.
   const source = new EventEmitter();
   const handled: string[] = [];
-  const signals = holdSignals(source);
+  const buffer = bufferSignals(source);
   source.emit('SIGHUP');
   source.emit('SIGTERM');
   assert.equal(handled.length, 0);
-  signals.handTo({
+  buffer.forwardTo({
     SIGTERM: () => handled.push('SIGTERM'),
     SIGINT: () => handled.push('SIGINT'),
     SIGHUP: () => handled.push('SIGHUP'),
