--- a/src/serve/answers_host.ts
+++ b/src/serve/answers_host.ts
@@ -23,7 +23,7 @@
 } as const;
 
 export interface AnswersHost {
-  readonly kept: KeptAnswers;
+  readonly keptAnswers: KeptAnswers;
   /** The part of the distributed index that this process stores. */
   readonly ownIndex: AnswerIndexPort;
 }
@@ -57,7 +57,7 @@
     return service?.keepAnswersMs ?? 0;
   }
 
-  const kept = createKeptAnswers(
+  const keptAnswers = createKeptAnswers(
     {
       clock,
       log: adapters.createLogger('answers'),
@@ -68,5 +68,5 @@
     },
     {...OPTIONS, retentionMs},
   );
-  return {kept, ownIndex};
+  return {keptAnswers, ownIndex};
 }
--- a/src/serve/configuration_host.ts
+++ b/src/serve/configuration_host.ts
@@ -44,7 +44,7 @@
   const {hostId, site} = adapters.host;
   const log = adapters.createLogger('configuration');
   const listeners: ((settings: Settings) => void)[] = [];
-  let front: FrontSettings | undefined;
+  let frontSettings: FrontSettings | undefined;
 
   /**
    * Rejects a change of the number of partitions while processes run. Keys
@@ -52,7 +52,7 @@
    * isn't idempotent could run twice.
    */
   function checkPartitionCount(body: string): readonly string[] {
-    const before = front?.settings.coordination.journalPartitions;
+    const before = frontSettings?.settings.coordination.journalPartitions;
     const {settings} = readStoredSettings(body, site);
     const after = settings?.coordination.journalPartitions;
     if (before === undefined || after === undefined || before === after) {
@@ -101,7 +101,7 @@
     {hostId},
   );
 
-  function adopt(revision: ConfigurationRevision): void {
+  function applyRevision(revision: ConfigurationRevision): void {
     const {settings, diagnostics} = readStoredSettings(revision.body, site);
     if (!settings) {
       log.error('The accepted revision has no valid settings for this site.', {
@@ -111,16 +111,16 @@
       });
       return;
     }
-    front = {settings, auth: createCallerAuth(settings)};
+    frontSettings = {settings, auth: createCallerAuth(settings)};
     for (const listener of listeners) listener(settings);
   }
 
-  keeper.changes.listen(adopt);
+  keeper.changes.listen(applyRevision);
 
   return {
     keeper,
-    getSettings: () => front?.settings,
-    getFrontSettings: () => front,
+    getSettings: () => frontSettings?.settings,
+    getFrontSettings: () => frontSettings,
     onChange: listener => listeners.push(listener),
   };
 }
--- a/src/serve/drain.ts
+++ b/src/serve/drain.ts
@@ -21,7 +21,7 @@
 
 export interface Drain {
   isLeaving(): boolean;
-  /** Starts the drain, or moves the deadline of a running drain forward. */
+  /** Starts the drain, or moves the deadline of a running drain earlier. */
   start(boundMs: number): void;
   /** Ends the drain immediately. */
   abort(): void;
--- a/src/serve/home_host.ts
+++ b/src/serve/home_host.ts
@@ -140,11 +140,11 @@
 
   /** Sets the engines of a home that have reported their size. */
   function updateKnownEngines({home, engines}: RunningHome): void {
-    const known: EngineDescription[] = [];
+    const reportedEngines: EngineDescription[] = [];
     for (const {engine, report} of engines.values()) {
-      if (report) known.push(createEngineDescription(engine, report));
+      if (report) reportedEngines.push(createEngineDescription(engine, report));
     }
-    home.setEngines(known);
+    home.setEngines(reportedEngines);
   }
 
   function onLoad(
--- a/src/serve/journal_host.ts
+++ b/src/serve/journal_host.ts
@@ -177,10 +177,10 @@
    * host's own leases, so that one failed owner would cost the others theirs.
    */
   function readHolder(partition: number): Promise<string | undefined> {
-    const known = holderReads.get(partition);
+    const cachedRead = holderReads.get(partition);
     const nowMs = clock.nowMs();
-    if (known && nowMs - known.startedAtMs < HOLDER_CACHE_MS) {
-      return known.holder;
+    if (cachedRead && nowMs - cachedRead.startedAtMs < HOLDER_CACHE_MS) {
+      return cachedRead.holder;
     }
     const holder = fetchHolder(partition);
     holderReads.set(partition, {startedAtMs: nowMs, holder});
--- a/src/serve/owner_state_lookup.ts
+++ b/src/serve/owner_state_lookup.ts
@@ -45,8 +45,8 @@
     if (!address) return;
     try {
       const client = createClient(RequestPeer, getTransport(address));
-      const limit = {timeoutMs: QUERY_TIMEOUT_MS};
-      const reply = await client.findRunning({requestIds}, limit);
+      const callOptions = {timeoutMs: QUERY_TIMEOUT_MS};
+      const reply = await client.findRunning({requestIds}, callOptions);
       const running = new Set(reply.requestIds);
       for (const requestId of requestIds) {
         const request = cachedRequests.get(requestId);
--- a/src/serve/peer_services.ts
+++ b/src/serve/peer_services.ts
@@ -53,7 +53,10 @@
     AnswerIndex,
     createAnswerIndexService(() => answers.ownIndex),
   );
-  router.service(AnswerPeer, createAnswerPeerService(answers.kept.serveRead));
+  router.service(
+    AnswerPeer,
+    createAnswerPeerService(answers.keptAnswers.serveRead),
+  );
   router.service(RequestPeer, createRequestPeerService(parts.isRequestRunning));
   router.service(ConfigurationPeer, createConfigurationPeerService(keeper));
   router.service(Operator, createOperatorService({...parts, keeper}));
--- a/src/serve/plain_upstreams.ts
+++ b/src/serve/plain_upstreams.ts
@@ -53,8 +53,11 @@
   return {
     update(upstreams) {
       const plain = upstreams.filter(upstream => upstream.kind === 'plain');
-      const known = new Set(serviceById.values());
-      const services = new Set([...known, ...plain.map(item => item.service)]);
+      const knownServices = new Set(serviceById.values());
+      const services = new Set([
+        ...knownServices,
+        ...plain.map(item => item.service),
+      ]);
       for (const service of services) updateService(service, plain);
     },
     pick: (service, excludeIds) => balancer.pick(service, new Set(excludeIds)),
--- a/src/serve/quarantine_facts.ts
+++ b/src/serve/quarantine_facts.ts
@@ -8,7 +8,7 @@
 const KEY_PREFIX = 'loss/';
 const FACT_TTL_MS = 600_000;
 /** Limits the size of a fact; further losses add no information. */
-const MAX_LOSSES = 4;
+const MAX_LOSS_IDS = 4;
 const KEY_DIGITS = 16;
 
 function decode(body: Uint8Array): LossFact | undefined {
@@ -33,7 +33,7 @@
   return {
     publish(fact) {
       version++;
-      const lossIds = fact.lossIds.slice(-MAX_LOSSES);
+      const lossIds = fact.lossIds.slice(-MAX_LOSS_IDS);
       const message = create(LossFactSchema, {...fact, lossIds});
       facts.publish({
         key: `${KEY_PREFIX}${fact.fingerprint.slice(0, KEY_DIGITS)}/${hostId}`,
--- a/src/serve/serve.ts
+++ b/src/serve/serve.ts
@@ -93,7 +93,7 @@
     journal: journal.journal,
     plainBalancer,
     quarantine,
-    keptAnswers: answers.kept,
+    keptAnswers: answers.keptAnswers,
     observer: createRequestObserver(metrics),
     retryBudget: createRetryBudget({
       burst: () => RETRY_BURST,
