--- a/src/scenario/scenario_home.ts
+++ b/src/scenario/scenario_home.ts
@@ -125,7 +125,7 @@
           home.applyLoadReport(report);
         },
         onCacheEvents: events => home.applyCacheEvents(engineId, events),
-        onGone() {
+        onUnreachable() {
           if (gone.has(address)) return;
           gone.add(address);
           home.removeEngine(engineId);
--- a/src/serve/peer_services.ts
+++ b/src/serve/peer_services.ts
@@ -1,4 +1,4 @@
-/** What this process serves to its peers and to operators. */
+/** Registers the services that this process offers to peers and operators. */
 
 import type {ConnectRouter} from '@connectrpc/connect';
 import {
@@ -23,7 +23,7 @@
 } from './configuration_host.js';
 import type {GrantsHost} from './grants_host.js';
 import type {JournalHost} from './journal_host.js';
-import {createRequestPeerService} from './owner_inquiry.js';
+import {createRequestPeerService} from './owner_state_lookup.js';
 import {createOperatorService} from './operator_service.js';
 
 export interface PeerServiceParts {
@@ -53,7 +53,10 @@
     AnswerIndex,
     createAnswerIndexService(() => answers.ownIndex),
   );
-  router.service(AnswerPeer, createAnswerPeerService(answers.kept.serveRead));
+  router.service(
+    AnswerPeer,
+    createAnswerPeerService(answers.keptAnswers.serveRead),
+  );
   router.service(RequestPeer, createRequestPeerService(parts.isRequestRunning));
   router.service(ConfigurationPeer, createConfigurationPeerService(keeper));
   router.service(Operator, createOperatorService({...parts, keeper}));
