--- a/tests/platform/relay_accounts_test.ts
+++ b/tests/platform/relay_accounts_test.ts
@@ -45,9 +45,9 @@
   return entry;
 }
 
-test('an upstream sees the account and never the key', async () => {
-  // Guards against a key that leaks to upstreams, and against a caller that
-  // names an account that is not its own.
+test('an upstream gets the account and never the key', async () => {
+  // Guards against keys that leak to upstreams, and against a caller that
+  // sends the name of another account.
   const ledger = await site.addUpstream({id: 'i-1', service: 'ledger'});
   const reader = await site.addUpstream({
     id: 'i-2',
@@ -80,8 +80,8 @@
   }
 });
 
-test('a key that nobody holds, or none, is refused and runs nothing', async () => {
-  // Guards against requests that run for nobody.
+test('a request without a key or with an unknown key is refused and not run', async () => {
+  // Guards against requests that run without an account.
   const upstream = await site.addUpstream({id: 'i-1', service: 'ledger'});
   const entry = await startEntry([tenant('rmtp', [KEY])]);
   assert.equal((await site.call(entry, '/saldo/1')).status, 401);
@@ -94,7 +94,7 @@
   assert.equal(upstream.runs.length, 0);
 });
 
-test('a public route asks for no key', async () => {
+test('a public route requires no key', async () => {
   const upstream = await site.addUpstream({id: 'i-1', service: 'ledger'});
   const configuration = makeConfiguration({tenants: [tenant('rmtp', [KEY])]});
   const {routes} = configuration as {routes: Array<{prefix: string}>};
@@ -111,8 +111,8 @@
 });
 
 test('a key works as soon as its version is acknowledged', async () => {
-  // Guards against a refusal that ends the caller's tries though its key is
-  // valid: the version that brought it is not yet here.
+  // Guards against a final refusal of a valid key at a host that doesn't have
+  // the configuration version with that key yet.
   await site.addUpstream({id: 'i-1', service: 'ledger'});
   const entry = await startEntry([tenant('rmtp', [KEY])]);
   const tenants = [tenant('rmtp', [KEY]), tenant('sgky', [OTHER_KEY])];
@@ -132,8 +132,8 @@
   });
 });
 
-test('an entry that the store turns away takes no key once it may be withdrawn', async () => {
-  // Guards against a withdrawn key that goes on working at a host out of touch.
+test('an entry that the store refuses accepts no key that may be withdrawn', async () => {
+  // Guards against accepting a withdrawn key at a host without store contact.
   const upstream = await site.addUpstream({id: 'i-1', service: 'ledger'});
   const keyWithdrawalMs = 1_750;
   const entry = await startEntry([tenant('rmtp', [KEY])], {keyWithdrawalMs});
@@ -158,8 +158,8 @@
   });
 });
 
-test('an account over its limit is refused at once with a time to return', async () => {
-  // Guards against an account that takes more than its part of the engines.
+test('an account over its limit is refused at once with a retry time', async () => {
+  // Guards against an account that uses more than its share of the engines.
   const upstream = await site.addUpstream({id: 'i-1', service: 'ledger'});
   const limit = {rate_per_s: 1_000, burst: 1_000};
   const entry = await startEntry([
@@ -181,7 +181,7 @@
 });
 
 test('a request that waits while its key is withdrawn does not run', async () => {
-  // Guards against a check of the key only when a request is taken.
+  // Guards against checking the key only when a request arrives.
   await site.addUpstream({id: 'i-2', service: 'drafts', role: 'prefill'});
   const writer = await site.addUpstream({
     id: 'i-3',
@@ -218,8 +218,8 @@
   assert.equal(writer.runs.length, 1);
 });
 
-test('a request that no upstream ran costs its account nothing', async () => {
-  // Guards against an account that is refused for what it did not get.
+test('a request that no upstream ran is not charged to its account', async () => {
+  // Guards against refusing an account because of requests that didn't run.
   const upstream = await site.addUpstream({id: 'i-1', service: 'ledger'});
   const limit = {rate_per_s: 200, burst: 2_000};
   const entry = await startEntry([tenant('rmtp', [KEY], limit)]);
--- a/tests/platform/relay_path_test.ts
+++ b/tests/platform/relay_path_test.ts
@@ -36,7 +36,7 @@
 const post = {method: 'POST', body: 'rida=1'};
 const draft = {...post, headers: PROMPT_HEADERS};
 
-test('an answer is handed on byte for byte, with its signature and id', async () => {
+test('an answer is forwarded byte for byte, with its signature and id', async () => {
   const upstream = await site.addUpstream({id: 'i-1', service: 'ledger'});
   const entry = await startEntry();
   const answer = await site.call(entry, '/makse/a%20b?c=d', {
@@ -58,8 +58,8 @@
 });
 
 test('a body in chunks arrives whole and cannot carry a second request', async () => {
-  // Somebody's request is run that nobody sent: a body that looks like a
-  // request follows one whose end the two sides see in different places.
+  // Guards against request smuggling: a body that looks like a request, where
+  // the two sides disagree about the end of the message before it.
   const upstream = await site.addUpstream({id: 'i-1', service: 'ledger'});
   const entry = await startEntry();
   const inner = 'POST /makse/y HTTP/1.1\r\nHost: x\r\nX-Request-Id: z\r\n\r\n';
@@ -72,7 +72,7 @@
   assert.equal(upstream.runs[0].body, inner);
 });
 
-test('an idempotent call is run once more after a failure, elsewhere', async () => {
+test('an idempotent call is retried at another upstream after a failure', async () => {
   const first = await site.addUpstream({id: 'i-1', service: 'ledger'});
   const second = await site.addUpstream({id: 'i-2', service: 'ledger'});
   const entry = await startEntry();
@@ -85,7 +85,7 @@
   }
 });
 
-test('the failure of the last attempt is handed on as it is', async () => {
+test('the failure of the last attempt is forwarded unchanged', async () => {
   const upstream = await site.addUpstream({id: 'i-1', service: 'ledger'});
   const entry = await startEntry();
   upstream.setBehaviour('fail');
@@ -96,8 +96,8 @@
 });
 
 test('a posting whose answer is lost runs once and is not called not-run', async () => {
-  // A payment is posted twice: the upstream ran it, its answer was lost, and
-  // the router sent it again or told the caller that it had not run.
+  // Guards against a payment that is posted twice: the upstream ran it, the
+  // answer was lost, and the relay repeated it or reported it as not run.
   const first = await site.addUpstream({id: 'i-1', service: 'ledger'});
   const second = await site.addUpstream({id: 'i-2', service: 'ledger'});
   const entry = await startEntry();
@@ -120,7 +120,7 @@
   assert.equal(second.runs.length, 4);
 });
 
-test('when all upstreams refuse, the refusal says when to come back', async () => {
+test('when all upstreams refuse, the refusal has a `Retry-After`', async () => {
   const upstream = await site.addUpstream({id: 'i-1', service: 'ledger'});
   const entry = await startEntry();
   upstream.setBehaviour('full');
@@ -131,8 +131,8 @@
 });
 
 test('an answer to another request never reaches the caller', async () => {
-  // A bookkeeper sees the balance of another client: an answer that came late
-  // or twice was taken for the answer to the next request.
+  // Guards against disclosing another client's data: a late or repeated answer
+  // is taken for the answer to the next request.
   const upstream = await site.addUpstream({id: 'i-1', service: 'ledger'});
   const entry = await startEntry();
   upstream.setBehaviour('wrong-id');
@@ -141,16 +141,16 @@
   assert.ok(!answer.body.includes('answer of'));
 });
 
-test('a success without a signature is not handed on', async () => {
+test('a successful answer without a signature is not forwarded', async () => {
   const upstream = await site.addUpstream({id: 'i-1', service: 'ledger'});
   const entry = await startEntry();
   upstream.setBehaviour('unsigned');
   assert.equal((await site.call(entry, '/makse/1', post)).status, 502);
 });
 
-test('an address that another upstream took over gets nothing to run', async () => {
-  // A request runs at a service that it was never meant for: its upstream is
-  // gone, and another one started at its address.
+test('a request is not run by another upstream at the same address', async () => {
+  // Guards against a request that runs at another service: its upstream has
+  // stopped, and another one has started at the address.
   const upstream = await site.addUpstream({id: 'i-new', service: 'other'});
   site.store.put('servers', 'i-old', {...upstream.row(), service: 'ledger'});
   const entry = await startEntry();
@@ -167,7 +167,7 @@
   assert.equal(answer.status, 413);
 });
 
-test('a stream is prefilled apart, decoded, and whole', async () => {
+test('a stream is prefilled on one engine, decoded on another, and complete', async () => {
   const prefill = await site.addUpstream({
     id: 'p-1',
     service: 'drafts',
@@ -187,9 +187,9 @@
   assert.equal(decode.runs[0].headers['x-kv-source'], `${prefill.address}/h1`);
 });
 
-test('a resumable stream goes on at another engine, each event once', async () => {
-  // A draft stops in the middle: its engine crashed within an event. The rest
-  // comes from another engine, and the torn event is not seen.
+test('a resumable stream resumes on another engine, with each event once', async () => {
+  // The engine crashes within an event. The rest comes from another engine,
+  // and the caller doesn't get the incomplete event.
   await site.addUpstream({id: 'p-1', service: 'drafts', role: 'prefill'});
   const engines = await Promise.all(
     ['d-1', 'd-2'].map(id =>
@@ -211,7 +211,7 @@
   assert.ok(!/data: to\n|data: toid/.test(answer.body));
 });
 
-test('a stream that may not be resumed runs once and shows that it was cut', async () => {
+test('a stream that may not be resumed runs once and ends as interrupted', async () => {
   await site.addUpstream({id: 'p-1', service: 'drafts', role: 'prefill'});
   const engines = await Promise.all(
     ['d-1', 'd-2'].map(id =>
@@ -225,9 +225,9 @@
   assert.equal(engines[0].runs.length + engines[1].runs.length, 1);
 });
 
-test('an engine stops when the caller leaves', async () => {
-  // Engines work on for callers that have gone, and their memory is missing
-  // to those who wait.
+test('an engine stops when the caller disconnects', async () => {
+  // Guards against engines that work for callers that have gone, with memory
+  // that waiting requests need.
   await site.addUpstream({id: 'p-1', service: 'drafts', role: 'prefill'});
   const decode = await site.addUpstream({
     id: 'd-1',
@@ -245,7 +245,7 @@
   });
   await until('the run', () => decode.runs.length === 1);
   caller?.destroy();
-  // It broke off before or after the head, as the time fell.
+  // The disconnect may come before or after the response head.
   await running.catch(() => undefined);
   await until('the end of the run', () => decode.runs[0].wasLeft);
 });
@@ -260,7 +260,7 @@
   });
 });
 
-test('a new version is in force soon, and an older one never again', async () => {
+test('a new configuration version is applied soon, and an older one is not applied after it', async () => {
   await site.addUpstream({id: 'i-1', service: 'ledger'});
   const entry = await startEntry();
   assert.equal((await site.call(entry, '/saldo/1')).status, 200);
@@ -274,7 +274,7 @@
   assert.equal((await site.call(entry, '/saldo/1')).status, 404);
 });
 
-test('a feed whose history is gone is read anew', async () => {
+test('the table is read again when the feed has lost its history', async () => {
   await site.addUpstream({id: 'i-1', service: 'ledger'});
   const entry = await startEntry();
   site.store.setMode('busy');
@@ -287,7 +287,7 @@
   });
 });
 
-test('an upstream that drains or leaves gets nothing more', async () => {
+test('an upstream that drains or leaves gets no more requests', async () => {
   const first = await site.addUpstream({id: 'i-1', service: 'ledger'});
   const second = await site.addUpstream({id: 'i-2', service: 'ledger'});
   const entry = await startEntry();
@@ -299,7 +299,7 @@
   assert.equal(second.runs.length, 6);
 });
 
-test('callers are served while the store is away', async () => {
+test('callers are served while the store is unavailable', async () => {
   await site.addUpstream({id: 'i-1', service: 'ledger'});
   const entry = await startEntry();
   site.store.setMode('silent');
@@ -308,9 +308,9 @@
   site.store.setMode('serving');
 });
 
-test('a host that cannot read the store learns from a peer', async () => {
-  // A host has just started, the store turns it away and serves the others:
-  // it refuses every caller though its peers know all that it needs.
+test('a host that cannot read the store gets the configuration from a peer', async () => {
+  // Guards against a new host that the store refuses and that therefore
+  // refuses every caller, although its peers have the configuration.
   await site.addUpstream({id: 'i-1', service: 'ledger'});
   const entry = await startEntry();
   const peer = await site.addEntry({
@@ -322,7 +322,7 @@
   assert.equal((await site.call(peer, '/saldo/1')).status, 200);
 });
 
-test('an entry that leaves is out of the answers and ends what it has', async () => {
+test('a leaving entry is removed from the directory and ends its requests', async () => {
   await site.addUpstream({id: 'p-1', service: 'drafts', role: 'prefill'});
   await site.addUpstream({
     id: 'd-1',
@@ -357,7 +357,7 @@
   assert.equal(await entry.process.ended, 0);
 });
 
-test('engines change their role by fenced orders of one host', async () => {
+test('engines change their role by the fenced orders of one host', async () => {
   const engines = await Promise.all(
     [1, 2, 3, 4, 5].map(i =>
       site.addUpstream({id: `e-${i}`, service: 'drafts', role: 'prefill'}),
@@ -370,9 +370,9 @@
   assert.ok(orders[0].fence >= 1);
 });
 
-test('a call that ran is never called not-run, though the next try was refused', async () => {
-  // A caller is told that its call never ran: the first upstream ran it and
-  // lost the answer, and the second one refused it for lack of room.
+test('a call that ran is never called not-run, although the retry was refused', async () => {
+  // Guards against telling a caller that its call didn't run: the first
+  // upstream ran it and lost the answer, and the second one was full.
   const first = await site.addUpstream({id: 'i-1', service: 'ledger'});
   const second = await site.addUpstream({id: 'i-2', service: 'ledger'});
   const entry = await startEntry();
@@ -390,9 +390,9 @@
   assert.ok(first.runs.length + second.runs.length > 0);
 });
 
-test('a prefill result that no decode engine takes is freed', async () => {
-  // Prompts of others wait for memory: a request was refused by every decode
-  // engine after its prompt had been read, and the result lay there unused.
+test('a prefill result that no decode engine accepts is released', async () => {
+  // Guards against a prefill result that occupies memory after every decode
+  // engine has refused the request.
   const reader = await site.addUpstream({
     id: 'p-1',
     service: 'drafts',
--- a/tests/platform/relay_promises_test.ts
+++ b/tests/platform/relay_promises_test.ts
@@ -1,4 +1,4 @@
-/** Promises of the whole path that only show at the upstreams' side. */
+/** Guarantees of the relay that can only be checked at the upstreams. */
 
 import assert from 'node:assert/strict';
 import net from 'node:net';
@@ -51,9 +51,9 @@
     ),
   );
 
-test('engines see the prompt as the caller described it, and none of our headers from it', async () => {
-  // An engine takes another caller's memory, or reserves some for nobody: a
-  // caller set a header that is the router's to set, and it was handed on.
+test("engines get the caller's description of the prompt but none of its system headers", async () => {
+  // Guards against forwarding headers that only the relay may set: an engine
+  // would use another caller's KV cache or reserve memory without need.
   const reader = await addReader();
   const [decode] = await addDecoders(['d-1']);
   const entry = await startEntry();
@@ -81,9 +81,9 @@
   }
 });
 
-test('streams beside each other go on from their own prefill results', async () => {
-  // A draft is about another client's books: its engine took the memory of a
-  // prompt that was read for another request at the same time.
+test('concurrent streams are decoded from their own prefill results', async () => {
+  // Guards against an answer made from the prefill result of another request
+  // that ran at the same time.
   const reader = await addReader();
   const [decode] = await addDecoders(['d-1']);
   const entry = await startEntry();
@@ -101,9 +101,9 @@
   }
 });
 
-test('a run that fell silent is ended when another goes on', async () => {
-  // Two engines make the same draft: the first one only fell silent, and was
-  // left working when the stream went on at the second.
+test('a stalled run is cancelled when its stream resumes on another engine', async () => {
+  // Guards against two engines that generate the same answer: the first one
+  // stalled and was not cancelled when the stream resumed on the second.
   await addReader();
   const engines = await addDecoders(['d-1', 'd-2'], {eventCount: 8});
   const entry = await startEntry();
@@ -121,7 +121,7 @@
   assert.ok(leftAtMs - second.runs[0].startedAtMs < 400);
 });
 
-test('a stream runs no more often than its route allows', async () => {
+test('a stream makes no more attempts than its route allows', async () => {
   await addReader();
   const engines = await addDecoders(['d-1', 'd-2', 'd-3']);
   const entry = await startEntry();
@@ -132,9 +132,9 @@
   assert.equal(runs, 2);
 });
 
-test('a second attempt is given no more time than the caller has left', async () => {
-  // Upstreams work for callers that have gone: a repeat was given the whole
-  // time of the first attempt again.
+test("a second attempt gets no more time than is left of the caller's deadline", async () => {
+  // Guards against a retry that gets the full timeout of the first attempt, so
+  // that the upstream works for a caller that has gone.
   const upstreams = await Promise.all(
     ['i-1', 'i-2'].map(id => site.addUpstream({id, service: 'ledger'})),
   );
@@ -156,9 +156,9 @@
   assert.ok(givenMs(second) <= givenMs(first) - passedMs + 50);
 });
 
-test('an upstream that never answers is given up within the time of the route', async () => {
-  // The caller is on the phone, and nothing comes: the call may have run, so
-  // that no refusal is true, but an end can be had at once.
+test("a call to an upstream that never answers ends at the route's timeout", async () => {
+  // The call may have run, so it can't be reported as not run; it must still
+  // end in time.
   await site.addUpstream({id: 'i-1', service: 'ledger'}).then(upstream => {
     upstream.setBehaviour('hang');
   });
@@ -177,7 +177,7 @@
   assert.ok(tookMs > 600 && tookMs < 1_200, String(tookMs));
 });
 
-test('a change of the configuration cuts nothing that runs', async () => {
+test('a configuration change does not interrupt running requests', async () => {
   await addReader();
   await addDecoders(['d-1'], {eventCount: 30, eventEveryMs: 30});
   const entry = await startEntry();
@@ -192,7 +192,7 @@
   assert.equal(countEvents(answer.body), 30);
 });
 
-test('a body of just the allowed size is served', async () => {
+test('a body of exactly the maximum size is accepted', async () => {
   const upstream = await site.addUpstream({id: 'i-1', service: 'ledger'});
   const entry = await startEntry();
   const body = 'x'.repeat(4_096);
@@ -201,9 +201,9 @@
   assert.equal(upstream.runs[0].body, body);
 });
 
-test('an upstream that answers before it has read the body still gets that body', async () => {
-  // A posting is garbled: its upstream answered early and read on later, and
-  // the next request stood where the rest of the body was due.
+test('an upstream that answers before it has read the body still gets the whole body', async () => {
+  // Guards against a garbled request: the upstream answers early and reads on
+  // later, and finds the next request in place of the rest of the body.
   const size = 300_000;
   const received: Buffer[] = [];
   const server = net.createServer(socket => {
@@ -246,12 +246,12 @@
   server.close();
 });
 
-/** What a service may get beyond the first call of each request, at one host. */
+/** Limits on calls beyond the first one of each request, at one host. */
 const ALLOWANCE = {retryRatio: 0.2, retrySlack: 14};
-/** The slack is for all hosts; one of few takes a fourteenth of it. */
+/** The slack is shared by all hosts; one of few takes a fourteenth of it. */
 const OWN_SLACK = 1;
 
-for (const [story, prepare] of [
+for (const [failure, prepare] of [
   [
     'prefill engines refuse',
     ({reader}) => {
@@ -265,11 +265,11 @@
     },
   ],
 ] satisfies ReadonlyArray<[string, (engines: Engines) => void]>) {
-  test(`a service gets few calls beyond its requests while ${story}`, async () => {
-    // A service that fails gets half of its load again: when the allowance was
-    // used up, a prompt that a prefill engine had refused still went to a
-    // decode engine, and a stream that went on had its prompt read again, both
-    // uncounted. Seen as 99 calls in 10 s for 170 requests where 92 may come.
+  test(`the retry budget bounds the calls to a service while ${failure}`, async () => {
+    // Guards against calls that the retry budget doesn't count: a decode engine
+    // that runs a prompt which a prefill engine refused, and the repeated
+    // prefill of a resumed stream. A failing service then got 99 extra calls
+    // in 10 s for 170 requests, where 92 are allowed.
     const reader = await addReader();
     const decoders = await addDecoders(['d-1', 'd-2', 'd-3']);
     site.configure(makeConfiguration());
@@ -281,7 +281,7 @@
       await site.call(entry, '/lisa/1', draft).catch(() => undefined);
     }
     const engines = [reader, ...decoders];
-    // The first prefill that an engine accepts for a request is no such call.
+    // The first prefill that an engine accepts for a request isn't counted.
     const firstPrefills = new Set(reader.runs.map(each => each.requestId)).size;
     const calls = engines.reduce(
       (sum, each) => sum + each.runs.length + each.refusalCount(),
--- a/tests/platform/relay_site.ts
+++ b/tests/platform/relay_site.ts
@@ -36,7 +36,7 @@
   readonly method?: string;
   readonly body?: string;
   readonly headers?: Readonly<Record<string, string>>;
-  /** Hands the caller's side over, for leaving early. */
+  /** Receives the client's request, so that a test can cancel it. */
   readonly onStart?: (request: http.ClientRequest) => void;
 }
 
@@ -92,14 +92,14 @@
   });
 }
 
-/** Waits until `condition` holds; fails after a few seconds. */
+/** Waits until `condition` returns true; fails after 8 s. */
 export async function until(
   what: string,
   condition: () => boolean | Promise<boolean>,
 ): Promise<void> {
   const deadline = Date.now() + 8_000;
   while (!(await condition())) {
-    if (Date.now() > deadline) throw new Error(`Never came: ${what}.`);
+    if (Date.now() > deadline) throw new Error(`Timed out: ${what}.`);
     await new Promise(resolve => setTimeout(resolve, 20));
   }
 }
@@ -184,7 +184,7 @@
 export const wait = (ms: number) =>
   new Promise<void>(resolve => setTimeout(resolve, ms));
 
-/** Calls the entries in turn for so long; resolves with all answers. */
+/** Calls the entries in turn for `durationMs`; resolves with all answers. */
 export async function callFor(
   site: Site,
   entries: readonly Entry[],
@@ -259,7 +259,7 @@
   'X-Prompt-Prefix': 'ab:200,cd:800',
 };
 
-/** Waits until the entry says that it is ready. */
+/** Waits until the entry's readiness check succeeds. */
 export async function untilReady(site: Site, entry: Entry): Promise<void> {
   await until('ready', async () => {
     const answer = await site.ask(
--- a/tests/platform/store_older_copy_test.ts
+++ b/tests/platform/store_older_copy_test.ts
@@ -1,4 +1,4 @@
-/** A store that comes back from a copy some seconds old. */
+/** A store that is restored from a copy some seconds old. */
 
 import assert from 'node:assert/strict';
 import {afterEach, beforeEach, test} from 'node:test';
@@ -13,10 +13,10 @@
   type Site,
 } from './relay_site.js';
 
-/** From the store's word that an upstream leaves to the last new work. */
+/** Limit on new work after the store lists an upstream as draining. */
 const DRAIN_MS = 2_000;
 const PLAY_MS = 4_000;
-/** Writes that are lost, so that numbers go back far. */
+/** Lost writes; enough to set the store's version counter far back. */
 const LOST_WRITES = 12;
 
 let site: Site;
@@ -38,7 +38,7 @@
   return entries;
 }
 
-/** Comes back as it is now, after writes that are lost. */
+/** Restores the store's present state after further writes. */
 async function loseWrites(): Promise<void> {
   const copy = site.store.copy();
   for (let i = 0; i < LOST_WRITES; i++) {
@@ -64,8 +64,9 @@
 }
 
 for (const count of [1, 3]) {
-  test(`an upstream that leaves after the store lost writes gets nothing more from ${count} hosts`, async () => {
-    // Guards against lists that are left out since the store's numbers went back.
+  test(`an upstream that drains after the store lost writes gets no new work from ${count} hosts`, async () => {
+    // Guards against ignoring upstream lists because the store's version
+    // counter went back.
     const leaving = await site.addUpstream({id: 'i-1', service: 'ledger'});
     await site.addUpstream({id: 'i-2', service: 'ledger'});
     site.configure(makeConfiguration());
--- a/tests/platform/store_sources_test.ts
+++ b/tests/platform/store_sources_test.ts
@@ -31,10 +31,10 @@
   return {table: 'op', part: '', key: 'config', value, ver};
 }
 
-test('of several changes in one feed answer the last one counts', async () => {
-  // A host that was cut off from the store serves a route as it was before
-  // two changes. The feed brings a row once for each change, in order, and
-  // the first was taken while the cursor moved past them all.
+test('the last of several changes in one feed answer is applied', async () => {
+  // Guards against a host that serves an outdated route after it lost contact
+  // with the store: the feed contains a row once for each change, in order,
+  // and applying the first one skips the others since the cursor moves on.
   const rows = [configurationRow(7, 100), configurationRow(14, 120)];
   const store = makeStore({rows, era: 1, ver: 121, now_ms: 0});
   const source = createRoutingSource({store, log: silentLog});
@@ -72,10 +72,9 @@
   return read.kind === 'read' ? read.value.upstreams : [];
 }
 
-test('entries from another writer name no upstream and hide none', async () => {
-  // Another program writes to the table in which engines register. Requests go
-  // to an address that is none, or all engines vanish since one entry cannot
-  // be read; the log is full of the same line.
+test('rows of other programs are skipped and do not hide upstreams', async () => {
+  // Guards against requests to an invalid address, against losing all engines
+  // because of one unreadable row, and against logging the row at each read.
   const warnings: unknown[] = [];
   const log = {
     ...silentLog,
@@ -115,9 +114,9 @@
   );
 });
 
-test('a start of an upstream under its name is a life of its own', async () => {
-  // An engine starts again under its name. Its books, suspicion and prefill
-  // results were kept by that name, and belonged to the life before.
+test('an upstream that restarts under its name is a new incarnation', async () => {
+  // Guards against applying the load, the suspicion and the prefill results of
+  // an engine's earlier incarnation after a restart under the same name.
   const again = {...GOOD, born: GOOD.born + 8_000};
   const [first] = await readUpstreams([upstreamRow('a', GOOD)], silentLog);
   const [second] = await readUpstreams([upstreamRow('a', again)], silentLog);
--- a/tests/platform/upstream_leaving_test.ts
+++ b/tests/platform/upstream_leaving_test.ts
@@ -1,4 +1,4 @@
-/** Upstreams that say in their answers that they leave. */
+/** Upstreams that announce in their answers that they are shutting down. */
 
 import assert from 'node:assert/strict';
 import {afterEach, beforeEach, test} from 'node:test';
@@ -14,7 +14,7 @@
   type Site,
 } from './relay_site.js';
 
-/** After this long no host that was told sends the upstream new work. */
+/** Limit on new work from a host that received the announcement. */
 const DRAIN_MS = 2_000;
 const PLAY_MS = 4_000;
 const STREAM_MS = 100;
@@ -38,8 +38,8 @@
 const draft = {...post, headers: PROMPT_HEADERS};
 
 /**
- * The upstreams leave while the store cannot tell it, and calls go on.
- * Returns how many requests reached each of them too late.
+ * Makes the upstreams leave during an outage of the store, while calls go on.
+ * Returns the number of requests that reached each of them after the limit.
  */
 async function leaveWithoutStore(
   leaving: readonly EngineStandIn[],
@@ -59,16 +59,16 @@
   });
 }
 
-test('a service that leaves gets no calls when only its answers say so', async () => {
-  // Guards against hosts that learn it from the store alone.
+test('a leaving service gets no calls when only its answers announce it', async () => {
+  // Guards against hosts that read the state from the store only.
   const leaving = await site.addUpstream({id: 'i-1', service: 'ledger'});
   await site.addUpstream({id: 'i-2', service: 'ledger'});
   await startEntry();
   assert.deepEqual(await leaveWithoutStore([leaving], '/makse/1', post), [0]);
 });
 
-test('a service that says in its failures that it leaves gets no calls', async () => {
-  // Guards against a word that is read from answers of success only.
+test('a service that announces in error answers that it leaves gets no calls', async () => {
+  // Guards against reading the header from successful answers only.
   const leaving = await site.addUpstream({id: 'i-1', service: 'ledger'});
   await site.addUpstream({id: 'i-2', service: 'ledger'});
   await startEntry();
@@ -76,8 +76,8 @@
   assert.deepEqual(await leaveWithoutStore([leaving], '/saldo/1'), [0]);
 });
 
-test('engines that leave get no streams and prompts when only their answers say so', async () => {
-  // Guards against prefill answers that nobody looks at.
+test('leaving engines get no streams or prompts when only their answers announce it', async () => {
+  // Guards against ignoring the header of prefill answers.
   const leaving = await Promise.all([
     site.addUpstream({id: 'p-1', service: 'drafts', role: 'prefill'}),
     site.addUpstream({id: 'd-1', service: 'drafts', role: 'decode'}),
@@ -89,8 +89,8 @@
   assert.deepEqual(late, [0, 0]);
 });
 
-test('an upstream that said that it leaves stays out when the list has it as ready again', async () => {
-  // Guards against a word that is forgotten with the entry of the list.
+test('an upstream that announced its leaving gets no calls when it is listed as ready again', async () => {
+  // Guards against dropping the state when the upstream leaves the list.
   const leaving = await site.addUpstream({id: 'i-1', service: 'ledger'});
   await site.addUpstream({id: 'i-2', service: 'ledger'});
   await startEntry();
--- a/tests/platform/upstream_limit_test.ts
+++ b/tests/platform/upstream_limit_test.ts
@@ -1,4 +1,4 @@
-/** Upstreams that name a limit in their answers, before several hosts. */
+/** Upstreams that announce a rate limit in their answers to several hosts. */
 
 import assert from 'node:assert/strict';
 import {afterEach, beforeEach, test} from 'node:test';
@@ -17,12 +17,12 @@
 
 const WINDOW_MS = 4_000;
 const LIMIT_PER_S = 2;
-/** What all hosts that were told may send an upstream in a window. */
+/** Maximum of requests from all hosts to an upstream in a window. */
 const MOST_IN_WINDOW = 1.5 * LIMIT_PER_S * (WINDOW_MS / 1_000) + 5;
-/** A host has this long to act on an answer that it passed on. */
+/** Time for a host to apply a limit after it received the answer. */
 const TOLD_MS = 500;
 const FEW_HOSTS = 3;
-/** Too many to hear each other all: some coordinate, place and keep slots. */
+/** Too many for a full mesh: some coordinate, place and assign slots. */
 const MANY_HOSTS = 18;
 
 let site: Site;
@@ -44,7 +44,7 @@
   for (const entry of entries) await untilReady(site, entry);
 }
 
-/** Has each host pass on an answer of each upstream. */
+/** Makes each host receive an answer of each upstream. */
 async function tellAll(
   upstreams: readonly EngineStandIn[],
   path: string,
@@ -73,8 +73,8 @@
 const post = {method: 'POST', body: 'rida=1'};
 const draft = {...post, headers: PROMPT_HEADERS};
 
-test('an upstream gets no more calls than the limit that it names to all hosts', async () => {
-  // Guards against hosts that take no notice of the limit, or each of it alone.
+test('all hosts together keep to the limit of an upstream', async () => {
+  // Guards against hosts that ignore the limit or each use the whole of it.
   const limited = await site.addUpstream({id: 'i-1', service: 'ledger'});
   const other = await site.addUpstream({id: 'i-2', service: 'ledger'});
   limited.setLimit(LIMIT_PER_S);
@@ -88,8 +88,8 @@
   assert.ok(answers.every(({status}) => status === 200));
 });
 
-test('engines get no more streams and prompts than the limits that they name', async () => {
-  // Guards against a limit that holds for calls of plain services only.
+test('streams and prompts keep to the limits of the engines', async () => {
+  // Guards against limits that are applied to plain services only.
   const engines = await Promise.all([
     site.addUpstream({id: 'p-1', service: 'drafts', role: 'prefill'}),
     site.addUpstream({id: 'd-1', service: 'drafts', role: 'decode'}),
@@ -109,8 +109,8 @@
   }
 });
 
-test('an upstream that refuses with its limit in the refusal is held to it', async () => {
-  // Guards against a limit that is read from answers of success only.
+test('a limit in a refusal is applied', async () => {
+  // Guards against reading the header from successful answers only.
   const limited = await site.addUpstream({id: 'i-1', service: 'ledger'});
   await site.addUpstream({id: 'i-2', service: 'ledger'});
   limited.setLimit(LIMIT_PER_S);
--- a/tests/platform/upstream_rest_test.ts
+++ b/tests/platform/upstream_rest_test.ts
@@ -1,4 +1,4 @@
-/** Upstreams that turn a host away and ask it for rest. */
+/** Upstreams that refuse with `Retry-After`. */
 
 import assert from 'node:assert/strict';
 import {afterEach, beforeEach, test} from 'node:test';
@@ -17,9 +17,9 @@
 
 const REST_S = 3;
 const PLAY_MS = 6_000;
-/** A host has this long to act on the answer. */
+/** Time for a host to act on the answer. */
 const TOLD_MS = 500;
-/** Requests that the host may still send while the upstream rests. */
+/** Requests that the host may still send during the `Retry-After` period. */
 const MOST_IN_REST = 2;
 
 let site: Site;
@@ -40,7 +40,7 @@
 const post = {method: 'POST', body: 'rida=1'};
 const draft = {...post, headers: PROMPT_HEADERS};
 
-/** Each arrival is refused and begins a time of rest. */
+/** Each request is refused and starts a new `Retry-After` period. */
 function mostInRest({arrivals}: EngineStandIn): number {
   return Math.max(
     ...arrivals.map(({atMs}) => {
@@ -69,8 +69,8 @@
   return answers;
 }
 
-test('a service that asks for rest gets it, and another serves its calls', async () => {
-  // Guards against an upstream that draws calls as it refuses them quickly.
+test('`Retry-After` of a service is respected, and another serves its calls', async () => {
+  // Guards against preferring an upstream because it refuses calls quickly.
   const resting = await site.addUpstream({id: 'i-1', service: 'ledger'});
   await site.addUpstream({id: 'i-2', service: 'ledger'});
   await startEntry();
@@ -78,8 +78,8 @@
   assert.ok(answers.every(({status}) => status === 200));
 });
 
-test('engines that ask for rest get it', async () => {
-  // Guards against rest that holds for plain calls only.
+test('`Retry-After` of engines is respected', async () => {
+  // Guards against applying it to plain services only.
   const resting = await Promise.all([
     site.addUpstream({id: 'p-1', service: 'drafts', role: 'prefill'}),
     site.addUpstream({id: 'd-1', service: 'drafts', role: 'decode'}),
@@ -90,9 +90,9 @@
   await restThrough(resting, '/lisa/1', draft);
 });
 
-test('when all upstreams rest callers are refused at once, until one may be back', async () => {
-  // Guards against calls that go to the last upstream whatever it asks for,
-  // or wait for it.
+test('callers are refused at once while no upstream may be called', async () => {
+  // Guards against calls that go to the last upstream despite its
+  // `Retry-After`, or wait for it.
   const upstreams = await Promise.all([
     site.addUpstream({id: 'i-1', service: 'ledger'}),
     site.addUpstream({id: 'i-2', service: 'ledger'}),
