--- a/src/adapters/consola_logger.ts
+++ b/src/adapters/consola_logger.ts
@@ -1,4 +1,4 @@
-/** Logs by consola: one line a message, with a fixed prefix for each part. */
+/** Logger by consola: one line per message, with the part as a prefix. */
 
 import {createConsola} from 'consola/core';
 import type {LogFields, Logger, LogLevel} from '../ports/log.js';
@@ -6,18 +6,18 @@
 export type LogFormat = 'text' | 'json';
 
 export interface ConsolaLoggerOptions {
-  /** The part of the program; its fixed prefix. */
+  /** The part of the program, written as a prefix. */
   readonly part: string;
   /** The least severe level that is written. */
   readonly level: LogLevel;
   readonly format: LogFormat;
-  /** Takes each line, with its line end; standard error without it. */
+  /** Writes a line that includes its line end; standard error by default. */
   readonly write?: (line: string) => void;
-  /** Time of each line, milliseconds since the Unix epoch. */
+  /** The time in milliseconds since the Unix epoch. */
   readonly wallMs?: () => number;
 }
 
-/** Numbers that consola gives to these levels. */
+/** Consola's numbers of the levels. */
 const CONSOLA_LEVELS: Readonly<Record<LogLevel, number>> = {
   error: 0,
   warn: 1,
@@ -25,10 +25,10 @@
   debug: 4,
 };
 
-/** Fields whose value is never written, whoever asks. */
+/** Fields whose values are masked. */
 const SECRET_FIELD = /key$|secret|password|token$|authorization/i;
-/** Such names end in `key` but name a row or a cache entry. */
-const HARMLESS_FIELD = /^(?:rowKey|cacheKey)$/;
+/** Fields that match `SECRET_FIELD` but hold no secret. */
+const NON_SECRET_FIELD = /^(?:rowKey|cacheKey)$/;
 const MASK = '[hidden]';
 
 type LineFormatter = (line: LogLine) => string;
@@ -52,7 +52,7 @@
   const format = formatters[options.format];
   const consola = createConsola({
     level: CONSOLA_LEVELS[options.level],
-    // A repeated line is a fact of its own: nothing is folded.
+    // Repeated messages are written each time, not merged.
     throttle: 0,
     reporters: [
       {
@@ -85,12 +85,12 @@
     : 'info';
 }
 
-/** A caller key in a log would let each reader of logs post payments. */
+/** Keys in a log would let anyone who reads it act for the callers. */
 function maskSecrets(fields: LogFields): LogFields {
   return Object.fromEntries(
     Object.entries(fields).map(([name, value]) => [
       name,
-      SECRET_FIELD.test(name) && !HARMLESS_FIELD.test(name) ? MASK : value,
+      SECRET_FIELD.test(name) && !NON_SECRET_FIELD.test(name) ? MASK : value,
     ]),
   );
 }
@@ -102,7 +102,7 @@
     .map(([name, value]) => ` ${name}=${formatValue(value)}`)
     .join('');
   const level = line.level.padEnd(5);
-  return `${time} ${level} [${line.part}] ${oneLine(line.sentence)}${fields}\n`;
+  return `${time} ${level} [${line.part}] ${replaceLineBreaks(line.sentence)}${fields}\n`;
 }
 
 function formatValue(value: string | number | boolean | undefined): string {
@@ -110,8 +110,8 @@
   return /^[\w.:/#@+-]+$/.test(text) ? text : JSON.stringify(text);
 }
 
-/** A line break in a caller's text must not forge a line of its own. */
-function oneLine(text: string): string {
+/** Replaces line breaks, so that a caller's text can't forge a log line. */
+function replaceLineBreaks(text: string): string {
   return text.replace(/[\r\n]+/g, ' ');
 }
 
@@ -121,7 +121,7 @@
   return `${JSON.stringify({...fields, time, level, part, message: sentence})}\n`;
 }
 
-/** Levels of the parts: `info`, or `info,journal=debug,entry=warn`. */
+/** The base level and those of single parts: `info,journal=debug`. */
 export interface LogLevels {
   readonly base: LogLevel;
   readonly parts: ReadonlyMap<string, LogLevel>;
@@ -129,7 +129,7 @@
 
 const LEVEL_NAMES: readonly string[] = Object.keys(CONSOLA_LEVELS);
 
-/** Reads the `--log-level` flag; a string says what is wrong with it. */
+/** Parses the `--log-level` flag; returns a string if it is invalid. */
 export function parseLogLevels(text: string): LogLevels | string {
   let base: LogLevel = 'info';
   const parts = new Map<string, LogLevel>();
@@ -149,7 +149,7 @@
   return LEVEL_NAMES.includes(text);
 }
 
-/** A logger for each part, by one set of levels. */
+/** Creates the loggers of all parts from one set of levels. */
 export function createLoggerFactory(
   levels: LogLevels,
   options: Omit<ConsolaLoggerOptions, 'part' | 'level'>,
--- a/src/adapters/http_caller.ts
+++ b/src/adapters/http_caller.ts
@@ -1,10 +1,10 @@
 /**
  * HTTP calls to one address by undici, with one timeout for the whole call and
- * a truthful account of how a call failed.
+ * the reason of a failure.
  *
- * Guards against connections that went silent: they show as a call without an
- * answer. After one such call all pooled connections are given up, so that the
- * next call opens its own instead of waiting on another silent one.
+ * A connection that has failed without notice shows as a timeout. After a
+ * timeout the whole pool is replaced, so that the next call opens a new
+ * connection and doesn't wait on another one that has failed.
  */
 
 import {Pool, type Dispatcher} from 'undici';
@@ -50,8 +50,8 @@
 
 export interface HttpCaller {
   call(call: HttpCall): Promise<HttpAnswer | HttpFailure>;
-  /** The same on a connection of its own. */
-  callFresh(call: HttpCall): Promise<HttpAnswer | HttpFailure>;
+  /** Makes the call over a new connection. */
+  callOnNewConnection(call: HttpCall): Promise<HttpAnswer | HttpFailure>;
   close(): Promise<void>;
 }
 
@@ -65,31 +65,31 @@
 ]);
 const KEEP_ALIVE_MS = 20_000;
 
-function codeOf(error: unknown): string {
+function getErrorCode(error: unknown): string {
   if (!(error instanceof Error)) return '';
   const {code, cause} = error as Error & {code?: string};
   if (code) return code;
-  return cause ? codeOf(cause) : '';
+  return cause ? getErrorCode(cause) : '';
 }
 
-/** Raised inside a call; becomes the `timeout` and `cancelled` failures. */
+/** Reasons to abort a call, converted to failures by `toHttpFailure`. */
 const TIMED_OUT = Symbol('timed out');
 const CANCELLED = Symbol('cancelled');
 const TOO_LARGE = Symbol('too large');
 
-/** True if no byte of the call can have left this host. */
+/** Whether the error proves that nothing of the call was sent. */
 export function isConnectError(error: unknown): boolean {
-  return CONNECT_ERRORS.has(codeOf(error));
+  return CONNECT_ERRORS.has(getErrorCode(error));
 }
 
-function failureOf(error: unknown): HttpFailure {
+function toHttpFailure(error: unknown): HttpFailure {
   const failed = (reason: HttpFailure['reason'], detail: string) =>
     ({kind: 'failed', reason, detail}) as const;
   if (error === TIMED_OUT) return failed('timeout', 'no answer in time');
   if (error === CANCELLED) return failed('cancelled', 'given up');
   if (error === TOO_LARGE)
     return failed('too-large', 'the answer is too large');
-  const code = codeOf(error) || String(error);
+  const code = getErrorCode(error) || String(error);
   if (isConnectError(error)) return failed('unreachable', code);
   return failed('broken', code);
 }
@@ -108,20 +108,20 @@
   return chunks.length === 1 ? chunks[0] : Buffer.concat(chunks);
 }
 
-/** One call on `dispatcher`; settles by the timeout at the latest. */
-export async function callOver(
+/** Makes a call on `dispatcher`; settles within the timeout. */
+export async function callWithTimeout(
   dispatcher: Dispatcher,
   host: HttpCallerHost,
   options: HttpCallerOptions,
   call: HttpCall,
 ): Promise<HttpAnswer | HttpFailure> {
   const controller = new AbortController();
-  const giveUp = () => controller.abort(CANCELLED);
-  if (call.signal?.aborted) return failureOf(CANCELLED);
+  const cancel = () => controller.abort(CANCELLED);
+  if (call.signal?.aborted) return toHttpFailure(CANCELLED);
   const timer = host.clock.setTimer(call.timeoutMs, () =>
     controller.abort(TIMED_OUT),
   );
-  call.signal?.addEventListener('abort', giveUp, {once: true});
+  call.signal?.addEventListener('abort', cancel, {once: true});
   try {
     const response = await dispatcher.request({
       origin: options.origin,
@@ -142,10 +142,10 @@
     };
   } catch (error) {
     const {signal} = controller;
-    return failureOf(signal.aborted ? signal.reason : error);
+    return toHttpFailure(signal.aborted ? signal.reason : error);
   } finally {
     host.clock.clearTimer(timer);
-    call.signal?.removeEventListener('abort', giveUp);
+    call.signal?.removeEventListener('abort', cancel);
   }
 }
 
@@ -163,8 +163,8 @@
     });
   let pool = createPool(options.maxConnections);
 
-  /** Calls that still run on the old pool end there by their own timeouts. */
-  function renew(failed: Pool): void {
+  /** Calls on the old pool run to their end, at most to their timeout. */
+  function replacePool(failed: Pool): void {
     if (failed !== pool) return;
     pool = createPool(options.maxConnections);
     failed.close().catch(() => undefined);
@@ -173,15 +173,15 @@
   return {
     async call(call) {
       const used = pool;
-      const outcome = await callOver(used, host, options, call);
+      const outcome = await callWithTimeout(used, host, options, call);
       if (outcome.kind === 'failed' && outcome.reason === 'timeout') {
-        renew(used);
+        replacePool(used);
       }
       return outcome;
     },
-    async callFresh(call) {
+    async callOnNewConnection(call) {
       const single = createPool(1);
-      const outcome = await callOver(single, host, options, call);
+      const outcome = await callWithTimeout(single, host, options, call);
       single.destroy().catch(() => undefined);
       return outcome;
     },
--- a/src/adapters/http_engine.ts
+++ b/src/adapters/http_engine.ts
@@ -1,4 +1,4 @@
-/** Model engines over HTTP; docs/PROTOCOLS.md tells what they speak. */
+/** Client of model engines over HTTP; docs/PROTOCOLS.md has the protocol. */
 
 import type {ZodType} from 'zod';
 import type {Clock} from '../ports/clock.js';
@@ -36,9 +36,9 @@
 
 export interface HttpEngineOptions {
   readonly maxConnections?: number;
-  /** A decode stream without a sign of life for this long is given up. */
+  /** A decode stream that receives no data for this long is closed. */
   readonly streamSilenceMs?: number;
-  /** Bound on starting or releasing a decode. */
+  /** Timeout of starting or releasing a decode. */
   readonly controlTimeoutMs?: number;
   readonly streamIdleMs?: number;
 }
@@ -150,7 +150,7 @@
     order: (order, timeoutMs) => post('/order', order, timeoutMs, orderSchema),
     async probe(timeoutMs) {
       const call = {method: 'GET', path: '/alive', timeoutMs};
-      return toResult(await caller.callFresh(call), aliveSchema);
+      return toResult(await caller.callOnNewConnection(call), aliveSchema);
     },
   };
 }
--- a/src/adapters/http_engine_schema.ts
+++ b/src/adapters/http_engine_schema.ts
@@ -1,4 +1,4 @@
-/** Shapes of what the engines' HTTP interface answers. */
+/** Schemas of the answers of the engines' HTTP interface. */
 
 import {z} from 'zod';
 
--- a/src/adapters/http_engine_stream.ts
+++ b/src/adapters/http_engine_stream.ts
@@ -1,10 +1,10 @@
 /**
- * The one long-lived stream on which an engine brings the tokens of all the
- * decodes that this process runs there: one line an engine step.
+ * The long-lived stream on which an engine sends the tokens of all decodes of
+ * this process, one line per engine step.
  *
- * Guards against a stream that went silent: engines send a heartbeat each
- * second, so a stream without a line for `silenceMs` is dead even if its
- * socket is open. All its decodes are cut then, and the next one opens anew.
+ * Engines send a heartbeat each second. A stream without a line for
+ * `silenceMs` is therefore considered dead even if its socket is open: its
+ * decodes are cut, and the next decode opens a new stream.
  */
 
 import {Client} from 'undici';
@@ -22,13 +22,13 @@
 export interface EngineStreamHost {
   readonly clock: Clock;
   readonly random: Random;
-  /** Asks the engine to start; `'no-stream'` if it does not know the stream. */
+  /** Starts a decode; `'no-stream'` if the engine doesn't have the stream. */
   startDecode(
     call: DecodeCall,
     stream: string,
     streamId: number,
   ): Promise<'started' | 'no-stream' | EngineFailure>;
-  /** Frees what the engine holds for the decode. */
+  /** Releases the resources that the engine holds for the decode. */
   release(call: DecodeCall): void;
 }
 
@@ -51,12 +51,12 @@
   readonly sink: (event: DecodeEvent) => void;
 }
 
-/** One connection of the stream; a new one has a new name. */
+/** One connection of the stream, with a name of its own. */
 interface Connection {
   readonly name: string;
   readonly client: Client;
   readonly running: Map<number, RunningDecode>;
-  /** Undefined once open; why not, otherwise. */
+  /** Resolves to undefined once open, or to the reason of the failure. */
   readonly opened: Promise<EngineFailure | undefined>;
   heardAtMs: number;
   remainder: Buffer | undefined;
@@ -76,7 +76,7 @@
   return {kind: 'failed', reason, detail};
 }
 
-/** Makes an event of one item of a line; undefined if it is malformed. */
+/** Converts an item of a line to an event; undefined if it is malformed. */
 function toEvent(item: unknown, call: DecodeCall): DecodeEvent | undefined {
   const [, second, third, fourth] = item as readonly unknown[];
   const {requestId, attemptId} = call.owner;
@@ -121,8 +121,8 @@
     watched.watch = clock.setTimer(
       options.silenceMs / CHECKS_PER_SILENCE,
       () => {
-        const quietMs = clock.nowMs() - watched.heardAtMs;
-        if (quietMs > options.silenceMs) {
+        const silentMs = clock.nowMs() - watched.heardAtMs;
+        if (silentMs > options.silenceMs) {
           closeConnection(watched, failed('broken', 'the stream went silent'));
         } else {
           watchSilence(watched);
@@ -140,10 +140,10 @@
     });
   }
 
-  function takeItem(from: Connection, item: unknown): void {
+  function handleItem(from: Connection, item: unknown): void {
     const streamId = Array.isArray(item) ? item[0] : undefined;
     const running = from.running.get(streamId);
-    // A frame that is late or crossed belongs to no running decode: dropped.
+    // Drops late or misdirected frames, which belong to no running decode.
     if (!running) return;
     const event = toEvent(item, running.call);
     if (!event) {
@@ -157,7 +157,7 @@
     running.sink(event);
   }
 
-  function takeLine(from: Connection, line: string): void {
+  function handleLine(from: Connection, line: string): void {
     if (line.length <= 2) return;
     let items: unknown;
     try {
@@ -169,10 +169,10 @@
       closeConnection(from, failed('broken', 'malformed line'));
       return;
     }
-    for (const item of items) takeItem(from, item);
+    for (const item of items) handleItem(from, item);
   }
 
-  function takeBytes(from: Connection, chunk: Buffer): void {
+  function handleBytes(from: Connection, chunk: Buffer): void {
     from.heardAtMs = clock.nowMs();
     const bytes = from.remainder
       ? Buffer.concat([from.remainder, chunk])
@@ -184,21 +184,23 @@
       return;
     }
     const lines = bytes.toString('utf8', 0, end).split('\n');
-    for (const line of lines) takeLine(from, line);
+    for (const line of lines) handleLine(from, line);
   }
 
-  async function open(opening: () => Connection): Promise<undefined> {
-    const {client, name} = opening();
+  async function open(getConnection: () => Connection): Promise<undefined> {
+    const {client, name} = getConnection();
     const response = await client.request({
       method: 'GET',
       path: `/stream?name=${name}`,
       headersTimeout: options.connectTimeoutMs,
       bodyTimeout: 0,
     });
-    response.body.on('data', chunk => takeBytes(opening(), chunk as Buffer));
+    response.body.on('data', chunk =>
+      handleBytes(getConnection(), chunk as Buffer),
+    );
     response.body.on('error', () => undefined);
     response.body.on('close', () =>
-      closeConnection(opening(), failed('broken', 'the stream ended')),
+      closeConnection(getConnection(), failed('broken', 'the stream ended')),
     );
     return undefined;
   }
@@ -208,16 +210,16 @@
       connectTimeout: options.connectTimeoutMs,
       pipelining: 1,
     });
-    const made: Connection = {
+    const created: Connection = {
       name: host.random.nextId(),
       client,
       running: new Map(),
       opened: Promise.resolve()
-        .then(() => open(() => made))
+        .then(() => open(() => created))
         .catch((error: unknown) => {
           const reason = isConnectError(error) ? 'unreachable' : 'broken';
           const failure = failed(reason, 'the stream did not open');
-          closeConnection(made, failure);
+          closeConnection(created, failure);
           return failure;
         }),
       heardAtMs: clock.nowMs(),
@@ -226,11 +228,11 @@
       idleTimer: undefined,
       isClosed: false,
     };
-    watchSilence(made);
-    return made;
+    watchSilence(created);
+    return created;
   }
 
-  /** Starts a decode; once more if the engine did not know the stream. */
+  /** Starts a decode; tries again if the engine doesn't have the stream. */
   async function start(
     running: RunningDecode,
     streamId: number,
@@ -250,7 +252,7 @@
       await start(running, streamId, triesLeft - 1);
       return;
     }
-    // The engine may have started it although its answer did not come.
+    // The engine may have started the decode although the call failed.
     if (outcome !== 'no-stream') host.release(call);
     const failure =
       outcome === 'no-stream' ? failed('broken', 'no stream') : outcome;
--- a/src/adapters/http_exchange.ts
+++ b/src/adapters/http_exchange.ts
@@ -1,14 +1,14 @@
 /**
- * One HTTP/1.1 call to an upstream over Node's client, with a verdict on how
- * much of it may have had an effect.
+ * HTTP/1.1 calls to upstreams over Node's client. The outcome of a failed call
+ * says whether the upstream may have received it.
  *
- * Guards of the connection pool:
- * - An upstream may send a second answer after a whole one. Bytes that arrive
- *   on an idle connection end it, so that they never meet the next request.
- * - A connection may go silent while it lies idle. A call that must not be
- *   lost opens its own; others use only those that were used a moment ago.
- * - An upstream may answer before it has read the whole request. Node keeps
- *   such a connection only once the request is written out.
+ * Rules of the connection pool:
+ * - An upstream may send a second answer after a complete one. Data on an idle
+ *   connection closes it, so it can't be taken for the next answer.
+ * - An idle connection may stop working without notice. Calls that must not be
+ *   lost open a new connection; others reuse only recently used ones.
+ * - An upstream may answer before it has read the whole request. Node returns
+ *   such a connection to the pool only after the request has been written.
  */
 
 import http from 'node:http';
@@ -19,7 +19,7 @@
 
 export interface HttpExchangeHost {
   readonly clock: Clock;
-  /** A connection was opened. */
+  /** Called when a connection is opened. */
   onConnect?(): void;
 }
 
@@ -30,7 +30,7 @@
   readonly headers: RawHeaders;
   readonly body?: Buffer;
   readonly connectTimeoutMs: number;
-  /** From the start to the head of the answer. */
+  /** From the start of the call to the head of the answer. */
   readonly headTimeoutMs: number;
   readonly mayReuseConnection: boolean;
 }
@@ -39,7 +39,7 @@
   readonly kind: 'answered';
   readonly status: number;
   readonly headers: RawHeaders;
-  /** First value of a header; the name in lower case. */
+  /** The first value of a header, whose name is given in lower case. */
   get(name: string): string | undefined;
   readonly body: AnswerBody;
 }
@@ -57,7 +57,7 @@
   close(): void;
 }
 
-/** An idle connection older than this is not trusted with another call. */
+/** A connection that has been idle for longer is not reused. */
 const MAX_IDLE_MS = 2_000;
 const MAX_IDLE_PER_UPSTREAM = 4;
 
@@ -66,7 +66,7 @@
   endOnData?: () => void;
 }
 
-/** Keeps connections that end themselves on bytes nobody asked for. */
+/** An agent whose idle connections are closed on unexpected data. */
 class GuardedAgent extends http.Agent {
   constructor(private readonly clock: Clock) {
     super({
@@ -76,7 +76,7 @@
     });
   }
 
-  // `keepSocketAlive` and `reuseSocket` are the documented points at which a
+  // Node documents `keepSocketAlive` and `reuseSocket` as the hooks for when a
   // connection enters and leaves the pool.
   override keepSocketAlive(socket: PooledSocket): boolean {
     const isKept = Boolean(super.keepSocketAlive(socket));
@@ -96,8 +96,8 @@
     super.reuseSocket(socket, request);
   }
 
-  /** Ends connections to an address that lay idle for too long. */
-  dropStale(ip: string, port: number): void {
+  /** Closes connections to an address that have been idle for too long. */
+  closeStale(ip: string, port: number): void {
     const idle = this.freeSockets[`${ip}:${port}:`] ?? [];
     for (const socket of [...idle] as PooledSocket[]) {
       const idleMs = this.clock.nowMs() - (socket.idleSinceMs ?? 0);
@@ -114,9 +114,9 @@
 }
 
 /**
- * Guards against an answer without a length that its upstream breaks off: Node
- * takes a reset for the end of such a body and says that it is complete. The
- * error of the request, or the state of the connection, comes first and tells.
+ * Detects when the upstream aborts an answer without a content length: Node
+ * takes a reset for the end of such a body and reports it as complete. The
+ * error of the request or the state of the connection shows the reset first.
  */
 function toAnswerBody(
   answer: http.IncomingMessage,
@@ -133,7 +133,7 @@
       answer.on('data', (bytes: Buffer) => sink.chunk(bytes));
       answer.on('end', () => {
         if (hasEnded) return;
-        // Node ends a body at a lost connection, too, and says so here.
+        // Node also emits `end` when the connection is lost.
         if (!answer.complete || hasFailed()) {
           return fail('the answer ended early');
         }
@@ -159,7 +159,7 @@
 
   function buildRequest(call: HttpExchangeCall): http.ClientRequest {
     const {ip, port} = splitAddress(call.address);
-    agent.dropStale(ip, port);
+    agent.closeStale(ip, port);
     const framing =
       call.body && call.body.length > 0
         ? ['Content-Length', String(call.body.length)]
@@ -218,20 +218,20 @@
       });
       request.on('socket', socket => {
         socket.setNoDelay(true);
-        const noteEnd = () => {
+        const markIfReset = () => {
           if (isReset(socket)) hasFailed = true;
         };
-        socket.prependOnceListener('end', noteEnd);
-        // A kept connection carries many calls and outlives each of them.
-        request.once('close', () => socket.off('end', noteEnd));
-        const connected = () => {
+        socket.prependOnceListener('end', markIfReset);
+        // A pooled connection outlives the call.
+        request.once('close', () => socket.off('end', markIfReset));
+        const markConnected = () => {
           isConnected = true;
         };
         if (socket.connecting) {
           host.onConnect?.();
-          socket.once('connect', connected);
+          socket.once('connect', markConnected);
         } else {
-          connected();
+          markConnected();
         }
       });
       request.on('error', error => {
@@ -247,7 +247,7 @@
           get: name => findHeader(headers, name),
           body: toAnswerBody(answer, () => hasFailed),
         });
-        // A head that came too late has nobody to read its body.
+        // Nobody reads the body of an answer that came after the timeout.
         if (request.destroyed) answer.destroy();
       });
       request.end(call.body);
@@ -261,21 +261,21 @@
 }
 
 /**
- * Whether a connection that reads as ended was in fact reset. When the last
- * bytes and the reset arrive together, the event loop reports the plain end
- * and no error; but a connection that was reset has no peer any more, while
- * one that was ended by its peer still has.
+ * Whether a connection that emitted `end` was reset. When the last bytes and
+ * the reset arrive together, Node reports a normal end without an error. A
+ * reset connection has no remote address any more; one that the peer closed
+ * normally still has it.
  */
 function isReset(socket: Socket): boolean {
   return socket.remoteAddress === undefined;
 }
 
-/** Methods whose empty body is stated, as servers expect. */
+/** Whether servers expect a `Content-Length` for an empty body. */
 function needsLength(method: string): boolean {
   return method === 'POST' || method === 'PUT' || method === 'PATCH';
 }
 
-/** Reads a body to its end; undefined if it breaks or grows too large. */
+/** Reads a whole body; undefined if it breaks off or is too large. */
 export function readWhole(
   body: AnswerBody,
   maxBytes: number,
--- a/src/adapters/http_host_list.ts
+++ b/src/adapters/http_host_list.ts
@@ -1,4 +1,4 @@
-/** The platform's list of hosts over HTTP. */
+/** Client of the platform's list of hosts over HTTP. */
 
 import {z} from 'zod';
 import type {HostListPort} from '../ports/table.js';
--- a/src/adapters/http_object_store.ts
+++ b/src/adapters/http_object_store.ts
@@ -1,4 +1,4 @@
-/** The platform's object store over HTTP. */
+/** Client of the platform's object store over HTTP. */
 
 import type {ObjectStorePort} from '../ports/table.js';
 import type {HttpCallerHost} from './http_caller.js';
--- a/src/adapters/http_plain_service.ts
+++ b/src/adapters/http_plain_service.ts
@@ -1,11 +1,11 @@
 /**
- * Plain services over HTTP.
+ * Client of plain services over HTTP.
  *
- * A call that may not be repeated goes only over a connection that answered
- * within the asked time, or over one just opened. A connection that went
- * silent while it lay idle would swallow the call: nobody could then say
- * whether it ran. The guard holds since an idle connection older than the
- * proof is destroyed, and a new one proves itself by the handshake.
+ * A call that may not be repeated is sent only over a new connection or over
+ * one that has answered within `connectionProvenWithinMs`. If an idle
+ * connection has failed without notice, the call is lost and it is unknown
+ * whether it ran. Idle connections that answered longer ago are closed; the
+ * handshake proves that a new one works.
  */
 
 import {Client} from 'undici';
@@ -18,7 +18,7 @@
   PlainServicePortFactory,
 } from '../ports/plain_service.js';
 import {
-  callOver,
+  callWithTimeout,
   createHttpCaller,
   type HttpAnswer,
   type HttpCall,
@@ -29,7 +29,7 @@
 export interface HttpPlainServiceOptions {
   readonly maxConnections?: number;
   readonly maxAnswerBytes?: number;
-  /** Path that answers when the service is well. */
+  /** Path of the health check. */
   readonly probePath?: string;
 }
 
@@ -39,7 +39,7 @@
 const PROBE_PATH = '/stand-in/alive';
 const ERROR_STATUS = 500;
 
-const NEVER_SENT: PlainFailure = {
+const NOT_SENT: PlainFailure = {
   kind: 'failed',
   mayHaveRun: false,
   reason: 'cancelled',
@@ -48,7 +48,7 @@
 
 interface ProvenConnection {
   readonly client: Client;
-  /** When it was opened or last answered. */
+  /** Time when it was opened or last answered. */
   aliveAtMs: number;
 }
 
@@ -100,7 +100,7 @@
   const caller = createHttpCaller(host, callerOptions);
   const idle: ProvenConnection[] = [];
 
-  /** The idle connection that answered last, if it did so recently. */
+  /** Takes the idle connection that answered last, if that was recent. */
   function takeProven(withinMs: number): ProvenConnection | undefined {
     for (let found = idle.pop(); found; found = idle.pop()) {
       const isRecent = host.clock.nowMs() - found.aliveAtMs <= withinMs;
@@ -112,7 +112,7 @@
     return undefined;
   }
 
-  function giveBack(connection: ProvenConnection): void {
+  function returnToPool(connection: ProvenConnection): void {
     connection.aliveAtMs = host.clock.nowMs();
     idle.push(connection);
     if (idle.length > MAX_IDLE_PROVEN) {
@@ -141,26 +141,26 @@
     let connections = proven ? 1 : 0;
     const countConnection = () => connections++;
     connection.client.on('connect', countConnection);
-    const outcome = await callOver(
+    const outcome = await callWithTimeout(
       connection.client,
       host,
       callerOptions,
       toHttpCall(call, signal),
     );
     connection.client.off('connect', countConnection);
-    if (outcome.kind === 'answered') giveBack(connection);
+    if (outcome.kind === 'answered') returnToPool(connection);
     else connection.client.destroy().catch(() => undefined);
     return toOutcome(outcome, connections > 0);
   }
 
   return {
     async call(call, signal) {
-      if (signal.aborted) return NEVER_SENT;
+      if (signal.aborted) return NOT_SENT;
       if (call.connectionProvenWithinMs > 0) return callProven(call, signal);
       return toOutcome(await caller.call(toHttpCall(call, signal)), true);
     },
     async probe(timeoutMs) {
-      const outcome = await caller.callFresh({
+      const outcome = await caller.callOnNewConnection({
         method: 'GET',
         path: options.probePath ?? PROBE_PATH,
         timeoutMs,
--- a/src/adapters/http_table.ts
+++ b/src/adapters/http_table.ts
@@ -1,4 +1,4 @@
-/** The platform's transactional table over HTTP. */
+/** Client of the platform's transactional table over HTTP. */
 
 import {z} from 'zod';
 import type {
@@ -80,8 +80,8 @@
 }
 
 /**
- * Only what the platform said, or a connection that was never made, proves
- * that a write did not and will not apply; all else is unknown.
+ * Only an answer of the platform or a failure to connect proves that a write
+ * was not and will not be applied; after any other failure this is unknown.
  */
 function toWriteOutcome(outcome: HttpAnswer | HttpFailure): WriteOutcome {
   if (outcome.kind === 'failed') {
--- a/src/adapters/line_logger.ts
+++ b/src/adapters/line_logger.ts
@@ -1,19 +1,18 @@
 /**
- * Structured logs, one JSON object a line, bounded in rate and never blocking.
+ * Structured logs, one JSON object per line, rate-limited and non-blocking.
  *
- * Guards against a reader that stalls: lines wait in a small buffer while the
- * stream cannot take them, and are counted and dropped once it is full, so
- * that requests never wait for a log. Ordinary lines have a budget a second;
- * warnings and errors have one of their own, so that a burst of answered
- * requests cannot push out the line that explains a failure.
+ * While the reader of the stream stalls, lines are kept in a small buffer; once
+ * it is full they are counted and dropped, so that requests never wait for the
+ * log. Warnings and errors have a separate rate limit, so that a burst of
+ * ordinary lines can't displace the line that explains a failure.
  */
 
 import type {Clock} from '../ports/clock.js';
 import type {LogFields, Logger, LogLevel} from '../ports/log.js';
 
-/** Where lines go; the standard output of the process outside tests. */
+/** Where lines are written: standard output, except in tests. */
 export interface LineSink {
-  /** False when the reader is behind. */
+  /** Returns false if the caller should wait for `onWritable`. */
   write(line: string): boolean;
   onWritable(listener: () => void): void;
 }
@@ -29,22 +28,22 @@
   readonly level: LogLevel;
 }
 
-const RANK: Readonly<Record<LogLevel, number>> = {
+const SEVERITY: Readonly<Record<LogLevel, number>> = {
   error: 0,
   warn: 1,
   info: 2,
   debug: 3,
 };
-/** One host ends some ten requests a second; this is five times as many. */
+/** Five times the ten or so requests that one host completes in a second. */
 const ORDINARY_LINES_PER_S = 50;
 const URGENT_LINES_PER_S = 100;
 const BURST_S = 4;
-/** While the reader is behind; about 100 kB. */
-const MAX_WAITING_LINES = 400;
+/** Size of the buffer, about 100 kB. */
+const MAX_BUFFERED_LINES = 400;
 const MS_PER_SECOND = 1_000;
 
 interface LineBudget {
-  take(nowMs: number): boolean;
+  tryTake(nowMs: number): boolean;
 }
 
 function createLineBudget(linesPerS: number): LineBudget {
@@ -52,7 +51,7 @@
   let left = most;
   let lastMs: number | undefined;
   return {
-    take(nowMs) {
+    tryTake(nowMs) {
       const passedMs = nowMs - (lastMs ?? nowMs);
       lastMs = nowMs;
       left = Math.min(most, left + (passedMs * linesPerS) / MS_PER_SECOND);
@@ -63,7 +62,7 @@
   };
 }
 
-/** Makes the loggers of all parts of one process. */
+/** Creates the loggers of all parts of one process. */
 export function createLineLoggers(
   host: LineLoggerHost,
   options: LineLoggerOptions,
@@ -71,30 +70,30 @@
   const {clock, sink} = host;
   const ordinary = createLineBudget(ORDINARY_LINES_PER_S);
   const urgent = createLineBudget(URGENT_LINES_PER_S);
-  let waiting: string[] = [];
-  let isBehind = false;
-  let dropped = 0;
+  let buffered: string[] = [];
+  let isSinkFull = false;
+  let droppedCount = 0;
 
   sink.onWritable(() => {
-    isBehind = false;
-    const lines = waiting;
-    waiting = [];
-    for (const line of lines) push(line);
+    isSinkFull = false;
+    const lines = buffered;
+    buffered = [];
+    for (const line of lines) writeOrBuffer(line);
   });
 
-  /** False when there is no room for the line. */
-  function push(line: string): boolean {
-    if (!isBehind) {
-      isBehind = !sink.write(line);
+  /** Returns false if the buffer is full. */
+  function writeOrBuffer(line: string): boolean {
+    if (!isSinkFull) {
+      isSinkFull = !sink.write(line);
       return true;
     }
-    if (waiting.length >= MAX_WAITING_LINES) return false;
-    waiting.push(line);
+    if (buffered.length >= MAX_BUFFERED_LINES) return false;
+    buffered.push(line);
     return true;
   }
 
-  function drop(): void {
-    dropped++;
+  function countDropped(): void {
+    droppedCount++;
     host.onDropped?.();
   }
 
@@ -104,8 +103,8 @@
     sentence: string,
     fields: LogFields | undefined,
   ): void {
-    const budget = RANK[level] <= RANK.warn ? urgent : ordinary;
-    if (!budget.take(clock.nowMs())) return drop();
+    const budget = SEVERITY[level] <= SEVERITY.warn ? urgent : ordinary;
+    if (!budget.tryTake(clock.nowMs())) return countDropped();
     const line = {
       time: new Date(clock.wallMs()).toISOString(),
       steadyMs: Math.round(clock.nowMs()),
@@ -114,23 +113,24 @@
       part,
       message: sentence,
       ...fields,
-      ...(dropped > 0 ? {linesLeftOut: dropped} : {}),
+      ...(droppedCount > 0 ? {linesLeftOut: droppedCount} : {}),
     };
-    // The count stays until a line that says it has been taken.
-    if (push(`${JSON.stringify(line)}\n`)) dropped = 0;
-    else drop();
+    // The count is reset once a line that contains it has been accepted.
+    if (writeOrBuffer(`${JSON.stringify(line)}\n`)) droppedCount = 0;
+    else countDropped();
   }
 
   return part => {
-    const at = (level: LogLevel) => (sentence: string, fields?: LogFields) => {
-      if (RANK[level] > RANK[options.level]) return;
-      write(level, part, sentence, fields);
-    };
+    const createWriter =
+      (level: LogLevel) => (sentence: string, fields?: LogFields) => {
+        if (SEVERITY[level] > SEVERITY[options.level]) return;
+        write(level, part, sentence, fields);
+      };
     return {
-      error: at('error'),
-      warn: at('warn'),
-      info: at('info'),
-      debug: at('debug'),
+      error: createWriter('error'),
+      warn: createWriter('warn'),
+      info: createWriter('info'),
+      debug: createWriter('debug'),
     };
   };
 }
--- a/src/adapters/listen.ts
+++ b/src/adapters/listen.ts
@@ -1,4 +1,4 @@
-/** Addresses as `ip:port`, and servers that listen on them. */
+/** Parses `ip:port` addresses and starts servers on them. */
 
 import type {Server} from 'node:net';
 
@@ -7,7 +7,7 @@
   readonly port: number;
 }
 
-/** Splits `ip:port`; an IPv6 number stands in brackets. */
+/** Splits `ip:port`; an IPv6 address is in brackets. */
 export function splitAddress(address: string): SplitAddress {
   const colon = address.lastIndexOf(':');
   const ip = address.slice(0, colon).replace(/^\[|\]$/g, '');
--- a/src/adapters/metered_table.ts
+++ b/src/adapters/metered_table.ts
@@ -1,4 +1,4 @@
-/** Counts calls to the platform's table by how they end. */
+/** Counts calls to the platform's table by outcome. */
 
 import type {TablePort} from '../ports/table.js';
 import type {Metrics} from './metrics.js';
--- a/src/adapters/metrics.ts
+++ b/src/adapters/metrics.ts
@@ -1,10 +1,10 @@
-/** Metrics by prom-client, with bounded sets of labels. */
+/** Metrics by prom-client, with a bounded set of label values. */
 
 import {Counter, Gauge, Histogram, Registry} from 'prom-client';
 import {errorAnswers, type ErrorKind} from '../core/error_kinds.js';
 import type {RequestClass} from '../ports/grants.js';
 
-/** Whose request it was. */
+/** The labels of a request. */
 export interface RequestLabels {
   readonly service: string;
   readonly account: string;
@@ -13,9 +13,9 @@
 
 export type RequestResult = 'whole' | 'cut' | 'refused' | 'cancelled';
 
-/** Typed recording; all durations are milliseconds. */
+/** Records the metrics; all durations are in milliseconds. */
 export interface Metrics {
-  /** Names that may appear as labels; all others become `other`. */
+  /** Sets the names that may be label values; others become `other`. */
   setKnownNames(services: readonly string[], accounts: readonly string[]): void;
   recordFirstToken(labels: RequestLabels, durationMs: number): void;
   recordTokenInterval(labels: RequestLabels, durationMs: number): void;
@@ -29,11 +29,11 @@
   recordPrefillWasted(labels: RequestLabels, promptTokenCount: number): void;
   recordPrefill(labels: RequestLabels): void;
   recordRefusal(labels: RequestLabels, kind: ErrorKind): void;
-  /** A late or crossed frame that was dropped. */
+  /** Counts a frame of an answer that was dropped. */
   recordFrameDropped(reason: FrameDropReason): void;
   recordResume(labels: RequestLabels): void;
   recordRetry(service: string, decision: RetryDecision): void;
-  /** An upstream was lost or failed while it ran a request. */
+  /** Counts an upstream that was lost or failed while it ran a request. */
   recordUpstreamBlamed(service: string): void;
   recordTableWrite(outcome: TableOutcome): void;
   recordTableRead(outcome: TableOutcome): void;
@@ -41,7 +41,7 @@
   setActiveRequests(count: number): void;
   setMembersAlive(count: number): void;
   setConfigurationRevision(revision: number): void;
-  /** The text that Prometheus reads. */
+  /** The metrics in the text format of Prometheus. */
   render(): Promise<string>;
   readonly contentType: string;
 }
@@ -54,11 +54,11 @@
 
 const OTHER = 'other';
 const PREFIX = 'corianderbend_';
-/** Buckets in seconds, as Prometheus wants: from 1 ms to 10 minutes. */
+/** Histogram buckets of waits, from 1 ms to 10 minutes. */
 const WAIT_BUCKETS_S = [
   0.001, 0.003, 0.01, 0.03, 0.1, 0.2, 0.5, 1, 2, 5, 10, 30, 60, 180, 600,
 ];
-/** The pace of tokens, from 5 ms to 2 s. */
+/** Histogram buckets of the time between tokens, from 5 ms to 2 s. */
 const INTERVAL_BUCKETS_S = [
   0.005, 0.01, 0.02, 0.03, 0.04, 0.05, 0.06, 0.08, 0.1, 0.15, 0.25, 0.5, 1, 2,
 ];
@@ -178,10 +178,10 @@
 
   let services: ReadonlySet<string> = new Set();
   let accounts: ReadonlySet<string> = new Set();
-  // A caller could otherwise make a time series of each name it invents.
-  const boundService = (name: string) => (services.has(name) ? name : OTHER);
-  const bound = (labels: RequestLabels) => ({
-    service: boundService(labels.service),
+  // Otherwise a caller could create any number of time series.
+  const limitService = (name: string) => (services.has(name) ? name : OTHER);
+  const limitLabels = (labels: RequestLabels) => ({
+    service: limitService(labels.service),
     account: accounts.has(labels.account) ? labels.account : OTHER,
     class: labels.requestClass,
   });
@@ -193,33 +193,36 @@
       accounts = new Set(newAccounts);
     },
     recordFirstToken(labels, durationMs) {
-      firstToken.observe(bound(labels), durationMs / MS_PER_S);
+      firstToken.observe(limitLabels(labels), durationMs / MS_PER_S);
     },
     recordTokenInterval(labels, durationMs) {
-      tokenInterval.observe(bound(labels), durationMs / MS_PER_S);
+      tokenInterval.observe(limitLabels(labels), durationMs / MS_PER_S);
     },
     recordTotalWait(labels, result, durationMs) {
-      totalWait.observe({...bound(labels), result}, durationMs / MS_PER_S);
+      totalWait.observe(
+        {...limitLabels(labels), result},
+        durationMs / MS_PER_S,
+      );
     },
     recordQueueing(labels, durationMs) {
-      queueing.observe(bound(labels), durationMs / MS_PER_S);
+      queueing.observe(limitLabels(labels), durationMs / MS_PER_S);
     },
-    recordGoodput: labels => goodput.inc(bound(labels)),
-    recordPrefill: labels => prefills.inc(bound(labels)),
+    recordGoodput: labels => goodput.inc(limitLabels(labels)),
+    recordPrefill: labels => prefills.inc(limitLabels(labels)),
     recordPrefillWasted(labels, promptTokenCount) {
-      wasted.inc(bound(labels));
-      wastedTokens.inc(bound(labels), promptTokenCount);
+      wasted.inc(limitLabels(labels));
+      wastedTokens.inc(limitLabels(labels), promptTokenCount);
     },
     recordRefusal(labels, kind) {
       const runState = errorAnswers[kind].runState;
-      refusals.inc({...bound(labels), kind, run_state: runState});
+      refusals.inc({...limitLabels(labels), kind, run_state: runState});
     },
     recordFrameDropped: reason => frames.inc({reason}),
-    recordResume: labels => resumes.inc(bound(labels)),
+    recordResume: labels => resumes.inc(limitLabels(labels)),
     recordRetry: (service, decision) =>
-      retries.inc({service: boundService(service), decision}),
+      retries.inc({service: limitService(service), decision}),
     recordUpstreamBlamed: service =>
-      blamed.inc({service: boundService(service)}),
+      blamed.inc({service: limitService(service)}),
     recordTableWrite: outcome => tableWrites.inc({outcome}),
     recordTableRead: outcome => tableReads.inc({outcome}),
     recordJournalBatch: intentCount => journalBatch.observe(intentCount),
--- a/src/adapters/peer_answers.ts
+++ b/src/adapters/peer_answers.ts
@@ -1,4 +1,4 @@
-/** Keyed model answers of other entries: the index, and reading one. */
+/** The index of kept model answers, and reading answers from other entries. */
 
 import {
   createClient,
@@ -27,7 +27,7 @@
 const UNSURE: AnswerPlace = {kind: 'unsure'};
 const FAILED: AnswerPart = {kind: 'failed'};
 
-function copyKey(message: AnswerKeyMessage | undefined): AnswerKey {
+function decodeKey(message: AnswerKeyMessage | undefined): AnswerKey {
   return {
     service: message?.service ?? '',
     account: message?.account ?? '',
@@ -61,7 +61,7 @@
   return {kind: 'part', texts: message.texts, end};
 }
 
-/** The index kept by the owner behind `transport`. */
+/** The answer index of the owner that `transport` connects to. */
 export function createPeerAnswerIndex(transport: Transport): AnswerIndexPort {
   const client = createClient(AnswerIndex, transport);
   return {
@@ -76,32 +76,32 @@
     },
     announce(key, place) {
       const options = {timeoutMs: ANNOUNCE_TIMEOUT_MS};
-      // Repeated while the answer runs, so a lost one is made good.
+      // Announced again while the answer runs, so one may be lost.
       client.announce({key, place}, options).catch(() => {});
     },
   };
 }
 
-/** Serves the index from the owners in this process. */
+/** Serves the answer index from the owners in this process. */
 export function createAnswerIndexService(
   findIndex: (key: AnswerKey) => AnswerIndexPort | undefined,
 ): ServiceImpl<typeof AnswerIndex> {
   return {
     async find(message, context) {
-      const key = copyKey(message.key);
+      const key = decodeKey(message.key);
       const timeoutMs = context.timeoutMs() ?? ANNOUNCE_TIMEOUT_MS;
       const place = await findIndex(key)?.find(key, timeoutMs);
       return {...(place ?? UNSURE)};
     },
     announce(message) {
-      const key = copyKey(message.key);
+      const key = decodeKey(message.key);
       findIndex(key)?.announce(key, decodePlace(message.place));
       return {};
     },
   };
 }
 
-/** Reads answers at other entries. */
+/** Reads answers from other entries. */
 export function createAnswerPeers(
   getTransport: (address: string) => Transport,
 ): AnswerPeerPort {
@@ -125,14 +125,14 @@
   waitMs: number,
 ) => Promise<AnswerPart>;
 
-/** Serves the answers of this entry to others. */
+/** Serves the answers of this entry to other entries. */
 export function createAnswerPeerService(
-  readOwn: ReadOwnAnswer,
+  readLocal: ReadOwnAnswer,
 ): ServiceImpl<typeof AnswerPeer> {
   return {
     async read(message) {
       const {fromOffset, waitMs} = message;
-      const part = await readOwn(copyKey(message.key), fromOffset, waitMs);
+      const part = await readLocal(decodeKey(message.key), fromOffset, waitMs);
       if (part.kind !== 'part') return {kind: part.kind};
       return {
         kind: 'part',
--- a/src/adapters/peer_connection.ts
+++ b/src/adapters/peer_connection.ts
@@ -1,13 +1,13 @@
 /**
- * Connections between our own processes: connect over HTTP/2, with a key that
- * every call carries.
+ * Connections between the product's processes, by Connect RPC over HTTP/2.
+ * Each call carries the shared key.
  */
 
 import {createHash, timingSafeEqual} from 'node:crypto';
 import type {Interceptor, Transport} from '@connectrpc/connect';
 import {createConnectTransport} from '@connectrpc/connect-node';
 
-/** Idle connections are pinged, so that a silent one is found and replaced. */
+/** Idle connections are pinged to find and replace those that have failed. */
 const PING_INTERVAL_MS = 2000;
 const PING_TIMEOUT_MS = 1500;
 const IDLE_CONNECTION_MS = 60_000;
@@ -20,7 +20,7 @@
   };
 }
 
-/** Whether a header carries `key`; takes the same time for any header. */
+/** Whether an `authorization` header carries `key`; takes constant time. */
 export function isKeyShown(header: string | null, key: string): boolean {
   const digest = (text: string) => createHash('sha256').update(text).digest();
   return timingSafeEqual(digest(header ?? ''), digest(`Bearer ${key}`));
@@ -40,8 +40,8 @@
 }
 
 /**
- * A time limit as connect can send it: its header takes whole milliseconds
- * only, and a peer refuses every call that has a fraction.
+ * Rounds a timeout up to whole milliseconds: peers refuse calls whose timeout
+ * header has a fraction.
  */
 export function toCallTimeoutMs(timeoutMs: number): number {
   return Math.max(1, Math.ceil(timeoutMs));
--- a/src/adapters/peer_grants.ts
+++ b/src/adapters/peer_grants.ts
@@ -1,4 +1,4 @@
-/** `GrantPort` to a home in another process, and the home's side of it. */
+/** Client and server of the grants of a shard's home in another process. */
 
 import {
   Code,
@@ -29,10 +29,10 @@
   GrantRequest,
 } from '../ports/grants.js';
 
-/** Reports to one home are gathered this long into one message. */
+/** Reports to one home are batched for this long. */
 const REPORT_WINDOW_MS = 20;
 const REPORT_TIMEOUT_MS = 2000;
-/** A home answers from memory, or says within the wait that it cannot. */
+/** A home answers from memory, within the wait of the request. */
 const REQUEST_SLACK_MS = 200;
 const UNREACHABLE_RETRY_MS = 500;
 const MAX_PENDING_REPORTS = 10_000;
@@ -141,7 +141,7 @@
   }),
 };
 
-/** A report names its grant; the home knows the rest. */
+/** A grant with only the fields by which the home finds it. */
 export function createGrantReference(report: GrantReport): Grant {
   return {
     kind: 'granted',
@@ -156,7 +156,7 @@
   };
 }
 
-/** Grants from the home of `shardId`, in the process behind `transport`. */
+/** Grants of the home of `shardId`, in the process of `transport`. */
 export function createPeerGrants(
   host: {readonly clock: Clock},
   transport: Transport,
@@ -173,8 +173,8 @@
     try {
       await client.reportGrants({reports}, {timeoutMs: REPORT_TIMEOUT_MS});
     } catch {
-      // A lost report is not repeated: the grant's own life bounds what the
-      // home may go on counting as used.
+      // A lost report is not sent again: the home stops counting the grant as
+      // used when its lifetime ends.
     }
   }
 
@@ -210,7 +210,7 @@
         isDecoding,
         tokensDelivered,
       };
-      // A lost one leaves the new home to learn from the next `renew`.
+      // If the call is lost, the new home adopts the grant at the next `renew`.
       client
         .adoptGrants(
           {shardId, grants: [message]},
@@ -221,13 +221,13 @@
   };
 }
 
-/** A home as its peers see it. */
+/** The calls that peers make to a home. */
 export interface HomePort extends GrantPort {
-  /** Tells a new home of a grant that an earlier one gave. */
+  /** Announces a grant of an earlier home to the new one. */
   adopt(announced: AnnouncedGrant): void;
 }
 
-/** Finds the home of a shard, if it is in this process. */
+/** The home of a shard; undefined if it is not in this process. */
 export type FindHome = (shardId: string) => HomePort | undefined;
 
 function decodeAnnounced(
--- a/src/adapters/peer_journal.ts
+++ b/src/adapters/peer_journal.ts
@@ -1,4 +1,4 @@
-/** `JournalPort` to an owner in another process, and the owner's side of it. */
+/** Client and server of the journal of an owner in another process. */
 
 import {
   createClient,
@@ -25,7 +25,7 @@
 const UNREACHABLE_RETRY_MS = 500;
 const RUNNING_RETRY_MS = 200;
 
-function copyAnswer(message: StoredAnswerMessage | undefined): StoredAnswer {
+function decodeAnswer(message: StoredAnswerMessage | undefined): StoredAnswer {
   return {
     status: message?.status ?? 0,
     headers: message?.headers ?? {},
@@ -33,7 +33,7 @@
   };
 }
 
-function copyIntent(message: Intent): IntentRequest {
+function decodeIntent(message: Intent): IntentRequest {
   return {
     service: message.service,
     account: message.account,
@@ -53,12 +53,12 @@
   'overloaded',
 ]);
 
-/** Only a reply of kind `proceed` lets the entry dispatch. */
+/** The entry may dispatch only after a reply of kind `proceed`. */
 const outcomeDecoders: Readonly<
   Record<string, (reply: IntentReply) => IntentOutcome>
 > = {
   proceed: () => ({kind: 'proceed'}),
-  answered: reply => ({kind: 'answered', answer: copyAnswer(reply.answer)}),
+  answered: reply => ({kind: 'answered', answer: decodeAnswer(reply.answer)}),
   running: reply => ({kind: 'running', retryAfterMs: reply.retryAfterMs}),
   'outcome-unknown': reply => ({
     kind: 'outcome-unknown',
@@ -77,7 +77,10 @@
 const endDecoders: Readonly<
   Record<JournalEnd['kind'], (message: IntentEnd) => JournalEnd>
 > = {
-  answered: message => ({kind: 'answered', answer: copyAnswer(message.answer)}),
+  answered: message => ({
+    kind: 'answered',
+    answer: decodeAnswer(message.answer),
+  }),
   released: () => ({kind: 'released'}),
   'outcome-unknown': () => ({kind: 'outcome-unknown'}),
 };
@@ -87,11 +90,11 @@
 }
 
 /**
- * The journal of the owner behind `transport`.
+ * The journal of the owner that `transport` connects to.
  *
- * A `begin` whose reply is lost may have made the intent durable. This attempt
- * never dispatches then, so it is refused as not run; the caller of this port
- * releases the key with `end`.
+ * If the reply to `begin` is lost, the intent may be durable. The attempt is
+ * never dispatched in this case and is refused as not run; the caller of this
+ * port releases the key with `end`.
  */
 export function createPeerJournal(transport: Transport): JournalPort {
   const client = createClient(Journal, transport);
@@ -103,7 +106,7 @@
         const decode = outcomeDecoders[reply.kind];
         if (decode) return decode(reply);
       } catch {
-        // Falls through to the refusal: nothing was dispatched.
+        // Continues with the refusal: nothing was dispatched.
       }
       return {
         kind: 'refused',
@@ -133,7 +136,7 @@
 ): ServiceImpl<typeof Journal> {
   return {
     async begin(message) {
-      const request = copyIntent(message);
+      const request = decodeIntent(message);
       const owner = findOwner(request);
       if (!owner) {
         return {
@@ -148,7 +151,7 @@
     async end(message) {
       const intent = message.intent;
       if (!intent || !isEndKind(message.kind)) return {durable: false};
-      const request = copyIntent(intent);
+      const request = decodeIntent(intent);
       const owner = findOwner(request);
       if (!owner) return {durable: false};
       const durable = await owner.end(
--- a/src/adapters/system_clock.ts
+++ b/src/adapters/system_clock.ts
@@ -1,4 +1,4 @@
-/** The clock of the machine. */
+/** The system clock. */
 
 import {performance} from 'node:perf_hooks';
 import type {Clock, TimerHandle} from '../ports/clock.js';
--- a/src/adapters/system_random.ts
+++ b/src/adapters/system_random.ts
@@ -1,4 +1,4 @@
-/** Random numbers of the machine. */
+/** Random numbers from Node's generators. */
 
 import {randomBytes, randomInt} from 'node:crypto';
 import type {Random} from '../ports/random.js';
--- a/src/adapters/udp_datagram.ts
+++ b/src/adapters/udp_datagram.ts
@@ -1,4 +1,4 @@
-/** Datagrams over UDP. */
+/** Sends and receives datagrams over UDP. */
 
 import {createSocket} from 'node:dgram';
 import type {DatagramPort} from '../ports/datagram.js';
@@ -24,7 +24,7 @@
     send(toAddress, payload) {
       if (isClosed) return;
       const to = splitAddress(toAddress);
-      // An unreachable host shows as a probe without an answer.
+      // Send errors are ignored: probes of an unreachable host time out.
       socket.send(payload, to.port, to.ip, () => undefined);
     },
     onReceive(handler) {
--- a/tests/adapters/http_exchange_test.ts
+++ b/tests/adapters/http_exchange_test.ts
@@ -19,7 +19,7 @@
   for (const exchange of exchanges.splice(0)) exchange.close();
 });
 
-/** A server that answers each request on a connection as told. */
+/** A server that calls a handler for each request on a connection. */
 async function listen(behaviour: Behaviour): Promise<string> {
   const server = net.createServer(socket => {
     socket.on('error', () => undefined);
@@ -59,10 +59,10 @@
   return bytes?.toString() ?? 'broken';
 }
 
-test('an answer without a length that is reset is not whole', async () => {
-  // A caller gets half of an answer that looks complete: the upstream sends a
-  // body that ends with its connection, and crashes on the way. The reset
-  // reads like the end of such a body.
+test('an answer without a length that ends in a reset is not complete', async () => {
+  // Guards against forwarding half of an answer as a complete one: the upstream
+  // crashes while it sends a body that is delimited by the end of the
+  // connection, and Node reports the reset as that end.
   const address = await listen(socket => {
     socket.write('HTTP/1.1 200 OK\r\n\r\nhalf');
     setTimeout(() => socket.resetAndDestroy(), 30);
@@ -70,24 +70,24 @@
   assert.equal(await readBody(makeExchange(), makeCall(address)), 'broken');
 });
 
-test('an answer without a length that ends is whole', async () => {
+test('an answer without a length that ends normally is complete', async () => {
   const address = await listen(socket => {
     socket.end('HTTP/1.1 200 OK\r\n\r\nall of it');
   });
   assert.equal(await readBody(makeExchange(), makeCall(address)), 'all of it');
 });
 
-test('an answer shorter than its length is not whole', async () => {
+test('an answer shorter than its length is not complete', async () => {
   const address = await listen(socket => {
     socket.end('HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf');
   });
   assert.equal(await readBody(makeExchange(), makeCall(address)), 'broken');
 });
 
-test('a second answer on a kept connection never meets the next call', async () => {
-  // A caller gets the answer to somebody else's request: the upstream sends an
-  // extra answer after a whole one, and it is read as that of the next call
-  // on the same connection.
+test('a second answer on a reused connection is not taken for that of the next call', async () => {
+  // Guards against giving a caller the answer to another request: the upstream
+  // sends an extra answer, which is read as that of the next call on the same
+  // connection.
   let connections = 0;
   const address = await listen((socket, request) => {
     if (request.includes('/first')) {
@@ -112,7 +112,7 @@
   assert.equal(connections, 2);
 });
 
-test('no listener means that nothing was sent', async () => {
+test('a call to an address without a listener is reported as not sent', async () => {
   const address = await listen(() => undefined);
   const server = servers.pop()!;
   await new Promise(resolve => server.close(resolve));
@@ -122,12 +122,12 @@
   );
 });
 
-test('a reset after the request was sent may have run it', async () => {
+test('a request that was sent before a reset is reported as possibly run', async () => {
   const address = await listen(socket => socket.resetAndDestroy());
   assert.equal((await makeExchange().start(makeCall(address))).kind, 'broken');
 });
 
-test('silence ends with the time for the head, and the connection with it', async () => {
+test('a call without an answer ends at the head timeout and closes its connection', async () => {
   let closed = false;
   const address = await listen(socket => {
     socket.on('close', () => {
@@ -140,7 +140,7 @@
   assert.equal(closed, true);
 });
 
-test('an answer without a length that is reset is not whole on a kept connection either', async () => {
+test('an answer without a length that ends in a reset is not complete on a reused connection', async () => {
   const address = await listen((socket, request) => {
     if (request.includes('/first')) {
       socket.write('HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\none');
@@ -157,9 +157,8 @@
   assert.equal(await readBody(exchange, second), 'broken');
 });
 
-test('a reset that arrives together with the last bytes is seen', async () => {
-  // As above, but the reset comes at once: the event loop then reports an
-  // ordinary end and no error.
+test('a reset that arrives together with the last bytes is detected', async () => {
+  // Node then reports a normal end and no error.
   const address = await listen(socket => {
     socket.write('HTTP/1.1 200 OK\r\n\r\nhalf', () => {
       socket.resetAndDestroy();
@@ -172,8 +171,8 @@
   }
 });
 
-test('a kept connection holds nothing of the calls that it carried', async () => {
-  // Guards against memory that grows with each call of a connection.
+test('a reused connection keeps no listeners of earlier calls', async () => {
+  // Guards against memory use that grows with each call on a connection.
   const warnings: string[] = [];
   const note = ({name}: Error) => void warnings.push(name);
   process.on('warning', note);
--- a/tests/adapters/line_logger_test.ts
+++ b/tests/adapters/line_logger_test.ts
@@ -42,7 +42,7 @@
   return {clock, createLogger, dropped: () => dropped};
 }
 
-test('a line says who, when on the steady clock, and with which inputs', () => {
+test('a line has the host, the part, the monotonic time and the fields', () => {
   const {lines, sink} = makeSink();
   const {createLogger} = makeLoggers(sink);
   createLogger('request').info('Request answered.', {
@@ -57,9 +57,9 @@
   assert.equal(line.waitedMs, 3);
 });
 
-test('a reader that stalls costs lines and holds nobody up', async () => {
-  // Requests stand still while a log is full: its reader has stopped, and each
-  // line waits to be taken. Here lines wait in a bounded buffer instead.
+test('a stalled reader makes the logger drop lines and does not block it', async () => {
+  // Guards against requests that wait for a log whose reader has stopped:
+  // lines are kept in a bounded buffer.
   const {lines, sink, stall, drain} = makeSink();
   const {clock, createLogger, dropped} = makeLoggers(sink);
   const log = createLogger('request');
@@ -68,7 +68,7 @@
     for (let i = 0; i < 100; i++) log.warn('Not answered.', {request: `r${i}`});
     await clock.advance(1_000);
   }
-  assert.equal(lines.length, 1, 'nothing is pushed at a reader that stalls');
+  assert.equal(lines.length, 1, 'nothing is written while the reader stalls');
   assert.ok(dropped() > 0);
   drain();
   log.info('Going on.');
@@ -79,12 +79,12 @@
   assert.equal(
     told.reduce((sum, count) => sum + count, 0),
     dropped(),
-    'every line that was left out is counted in one that was not',
+    'every dropped line is counted in a written one',
   );
   assert.ok(lines.length <= 402);
 });
 
-test('a burst of ordinary lines leaves room for those that explain failures', () => {
+test('a burst of ordinary lines does not displace warnings', () => {
   const {lines, sink} = makeSink();
   const {createLogger} = makeLoggers(sink);
   const log = createLogger('request');
--- a/tests/adapters/metrics_page_test.ts
+++ b/tests/adapters/metrics_page_test.ts
@@ -8,7 +8,7 @@
 
 const PREFIX = /^corianderbend_/;
 
-test("the operators' page has each metric", async () => {
+test("the operators' page lists each metric", async () => {
   const registry = new Registry();
   createMetrics(registry);
   const file = path.join(sourceRoot, 'docs/operators/logs_and_metrics.md');
--- a/tests/adapters/metrics_test.ts
+++ b/tests/adapters/metrics_test.ts
@@ -9,7 +9,7 @@
   requestClass: 'patient',
 };
 
-test('names that the settings do not have become one label', async () => {
+test('names that are not in the settings share one label value', async () => {
   const metrics = createMetrics(new Registry());
   metrics.setKnownNames([known.service], [known.account]);
   metrics.recordRefusal(known, 'overloaded');
--- a/tests/platform/upstream_limit_test.ts
+++ b/tests/platform/upstream_limit_test.ts
@@ -124,7 +124,7 @@
 });
 
 test('many hosts, few of which coordinate, keep to a limit', async () => {
-  // Guards against owners that a host which hears few others cannot ask.
+  // Guards against owners of a limit that a host with few peers can't reach.
   const limited = await site.addUpstream({id: 'i-1', service: 'ledger'});
   await site.addUpstream({id: 'i-2', service: 'ledger'});
   limited.setLimit(LIMIT_PER_S);
@@ -138,8 +138,8 @@
   assert.ok(answers.every(({status}) => status === 200));
 });
 
-test('when all upstreams name limits, calls beyond them are told when to come back', async () => {
-  // Guards against calls that go past the limit as nobody else is there.
+test('calls beyond the limits of all upstreams are refused with a `Retry-After`', async () => {
+  // Guards against exceeding a limit because no other upstream is available.
   const upstreams = await Promise.all([
     site.addUpstream({id: 'i-1', service: 'ledger'}),
     site.addUpstream({id: 'i-2', service: 'ledger'}),
@@ -162,8 +162,8 @@
   }
 });
 
-test('a call that waited for its place within a limit gets the answer', async () => {
-  // Guards against calls that are sent and cut in the same moment.
+test('a call that was delayed by a limit gets the answer', async () => {
+  // Guards against calls that are sent when their time is over.
   const upstreams = await Promise.all([
     site.addUpstream({id: 'i-1', service: 'ledger'}),
     site.addUpstream({id: 'i-2', service: 'ledger'}),
