--- a/src/scenario/fenced_ports.ts
+++ b/src/scenario/fenced_ports.ts
@@ -1,4 +1,4 @@
-/** Ports of a scenario's process: every answer crosses its fence. */
+/** Ports whose results pass through the fence of a scenario's process. */
 
 import type {EnginePort} from '../ports/engine.js';
 import type {GrantPort} from '../ports/grants.js';
@@ -12,17 +12,19 @@
   fence: ProcessFence,
 ): EnginePort {
   return {
-    prefill: call => fence.admit(engine.prefill(call)),
-    importKv: call => fence.admit(engine.importKv(call)),
+    prefill: call => fence.deliverResult(engine.prefill(call)),
+    importKv: call => fence.deliverResult(engine.importKv(call)),
     decode: (call, sink) =>
       engine.decode(call, event => fence.deliver(() => sink(event))),
-    cancel: (owner, timeoutMs) => fence.admit(engine.cancel(owner, timeoutMs)),
-    sessions: timeoutMs => fence.admit(engine.sessions(timeoutMs)),
-    load: timeoutMs => fence.admit(engine.load(timeoutMs)),
+    cancel: (owner, timeoutMs) =>
+      fence.deliverResult(engine.cancel(owner, timeoutMs)),
+    sessions: timeoutMs => fence.deliverResult(engine.sessions(timeoutMs)),
+    load: timeoutMs => fence.deliverResult(engine.load(timeoutMs)),
     cacheEvents: (after, timeoutMs) =>
-      fence.admit(engine.cacheEvents(after, timeoutMs)),
-    order: (order, timeoutMs) => fence.admit(engine.order(order, timeoutMs)),
-    probe: timeoutMs => fence.admit(engine.probe(timeoutMs)),
+      fence.deliverResult(engine.cacheEvents(after, timeoutMs)),
+    order: (order, timeoutMs) =>
+      fence.deliverResult(engine.order(order, timeoutMs)),
+    probe: timeoutMs => fence.deliverResult(engine.probe(timeoutMs)),
   };
 }
 
@@ -31,18 +33,18 @@
   fence: ProcessFence,
 ): PlainServicePort {
   return {
-    call: (call, signal) => fence.admit(service.call(call, signal)),
-    probe: timeoutMs => fence.admit(service.probe(timeoutMs)),
+    call: (call, signal) => fence.deliverResult(service.call(call, signal)),
+    probe: timeoutMs => fence.deliverResult(service.probe(timeoutMs)),
   };
 }
 
 export function fenceTable(table: TablePort, fence: ProcessFence): TablePort {
   return {
-    read: (keys, timeoutMs) => fence.admit(table.read(keys, timeoutMs)),
+    read: (keys, timeoutMs) => fence.deliverResult(table.read(keys, timeoutMs)),
     scan: (prefix, options, timeoutMs) =>
-      fence.admit(table.scan(prefix, options, timeoutMs)),
+      fence.deliverResult(table.scan(prefix, options, timeoutMs)),
     transact: (transaction, timeoutMs) =>
-      fence.admit(table.transact(transaction, timeoutMs)),
+      fence.deliverResult(table.transact(transaction, timeoutMs)),
   };
 }
 
@@ -52,15 +54,17 @@
 ): ObjectStorePort {
   return {
     put: (key, body, timeoutMs) =>
-      fence.admit(objects.put(key, body, timeoutMs)),
-    get: (key, timeoutMs) => fence.admit(objects.get(key, timeoutMs)),
-    remove: (key, timeoutMs) => fence.admit(objects.remove(key, timeoutMs)),
+      fence.deliverResult(objects.put(key, body, timeoutMs)),
+    get: (key, timeoutMs) => fence.deliverResult(objects.get(key, timeoutMs)),
+    remove: (key, timeoutMs) =>
+      fence.deliverResult(objects.remove(key, timeoutMs)),
   };
 }
 
 export function fenceGrants(grants: GrantPort, fence: ProcessFence): GrantPort {
   return {
-    request: (request, signal) => fence.admit(grants.request(request, signal)),
+    request: (request, signal) =>
+      fence.deliverResult(grants.request(request, signal)),
     report: (grant, progress) => grants.report(grant, progress),
   };
 }
@@ -70,7 +74,7 @@
   fence: ProcessFence,
 ): JournalPort {
   return {
-    begin: request => fence.admit(journal.begin(request)),
-    end: (request, end) => fence.admit(journal.end(request, end)),
+    begin: request => fence.deliverResult(journal.begin(request)),
+    end: (request, end) => fence.deliverResult(journal.end(request, end)),
   };
 }
--- a/src/scenario/process_fence.ts
+++ b/src/scenario/process_fence.ts
@@ -1,18 +1,18 @@
 /**
- * The border of one process of a scenario. All that comes in crosses it, so
- * that the process can be killed or paused at any moment: a killed one hears
- * nothing more, a paused one hears everything late.
+ * Simulates a process that can be killed or paused. All its inputs (timers,
+ * calls and results of calls) pass through the fence: after a kill they are
+ * dropped, and during a pause they are delayed until the process resumes.
  */
 
 import type {Clock, TimerHandle} from '../ports/clock.js';
 
 export interface ProcessFence {
-  /** The clock as the process sees it. */
+  /** The clock of the process; its timers pass through the fence. */
   readonly clock: Clock;
-  /** Runs `action` now, when the pause ends, or never. */
+  /** Runs `action` now, after the pause, or never if the process is dead. */
   deliver(action: () => void): void;
-  /** As `deliver`, for the result of a call. */
-  admit<T>(result: Promise<T>): Promise<T>;
+  /** Like `deliver`, for the result of a call. */
+  deliverResult<T>(result: Promise<T>): Promise<T>;
   kill(): void;
   pause(): void;
   resume(): void;
@@ -26,11 +26,11 @@
 
 export function createProcessFence(clock: Clock): ProcessFence {
   let state: 'running' | 'paused' | 'dead' = 'running';
-  let held: Array<() => void> = [];
+  let delayedActions: Array<() => void> = [];
 
   function deliver(action: () => void): void {
     if (state === 'running') action();
-    else if (state === 'paused') held.push(action);
+    else if (state === 'paused') delayedActions.push(action);
   }
 
   return {
@@ -53,7 +53,7 @@
       },
     },
     deliver,
-    admit: result =>
+    deliverResult: result =>
       new Promise((resolve, reject) => {
         result.then(
           value => deliver(() => resolve(value)),
@@ -62,7 +62,7 @@
       }),
     kill() {
       state = 'dead';
-      held = [];
+      delayedActions = [];
     },
     pause() {
       if (state === 'running') state = 'paused';
@@ -70,8 +70,8 @@
     resume() {
       if (state !== 'paused') return;
       state = 'running';
-      const actions = held;
-      held = [];
+      const actions = delayedActions;
+      delayedActions = [];
       for (const action of actions) action();
     },
     isDead: () => state === 'dead',
--- a/src/scenario/scenario_conditions.ts
+++ b/src/scenario/scenario_conditions.ts
@@ -1,4 +1,4 @@
-/** What `until` can wait for: named steps, seen in the stand-ins' books. */
+/** The conditions of `until`, checked on the state of the stand-ins. */
 
 import type {EngineCore} from '../../stand_ins/engine_core.js';
 import type {StatementArguments} from './scenario_parser.js';
--- a/src/scenario/scenario_entry.ts
+++ b/src/scenario/scenario_entry.ts
@@ -1,4 +1,4 @@
-/** One entry of a scenario: the real request tasks behind a fence. */
+/** One entry of a scenario: the product's request tasks behind a fence. */
 
 import {hashPrefixes} from '../core/prompt_tokens.js';
 import {createSeededRandom} from '../core/seeded_random.js';
@@ -45,7 +45,7 @@
   readonly answerPeers: AnswerPeerPort;
   readonly enginePort: EnginePortFactory;
   plainPort(address: string): PlainServicePort;
-  /** Hands a fact to the other entries. */
+  /** Sends a fact to the other entries. */
   spread(fact: LossFact): void;
 }
 
@@ -94,12 +94,14 @@
       objectStore,
       index: {
         find: (key, timeoutMs) =>
-          fence.admit(host.answerIndex.find(key, timeoutMs)),
+          fence.deliverResult(host.answerIndex.find(key, timeoutMs)),
         announce: (key, place) => host.answerIndex.announce(key, place),
       },
       peers: {
         read: (address, key, fromOffset, waitMs) =>
-          fence.admit(host.answerPeers.read(address, key, fromOffset, waitMs)),
+          fence.deliverResult(
+            host.answerPeers.read(address, key, fromOffset, waitMs),
+          ),
       },
       peerAddress: name,
     },
--- a/src/scenario/scenario_expectations.ts
+++ b/src/scenario/scenario_expectations.ts
@@ -1,7 +1,7 @@
-/** What `expect` can say; each looks at callers and at stand-ins' books. */
+/** The `expect` statements, checked against callers and the stand-ins' state. */
 
 import type {StatementArguments} from './scenario_parser.js';
-import {findHeldSessions, isAnswerRight} from './scenario_promises.js';
+import {findHeldSessions, isExpectedAnswer} from './scenario_invariants.js';
 import type {CallerView} from './scenario_requests.js';
 import type {World} from './scenario_world.js';
 import {parseShape, type StatementShape} from './statement_shape.js';
@@ -49,10 +49,10 @@
   }
 }
 
-const unless = (holds: boolean, found: string): string | undefined =>
+const failUnless = (holds: boolean, found: string): string | undefined =>
   holds ? undefined : `found: ${found}`;
 
-function textOf(view: CallerView): string | undefined {
+function getAnswerText(view: CallerView): string | undefined {
   const {outcome, tokens} = view;
   if (outcome?.kind === 'whole') return tokens.join('');
   if (outcome?.kind !== 'answered') return undefined;
@@ -66,41 +66,41 @@
   );
 }
 
-/** A leaving upstream gets no new work later than this. */
-const LEAVING_BOUND_MS = 2_000;
+/** A leaving upstream may get new work for no longer than this. */
+const MAX_WORK_AFTER_LEAVING_MS = 2_000;
 
 export const expectationDefinitions: readonly ExpectationDefinition[] = [
   define('<request> whole', (args, world) => {
     const view = getRequest(args, world);
     const isWhole = view.outcome?.kind === 'whole';
-    return unless(isWhole && isAnswerRight(view, world), describe(view));
+    return failUnless(isWhole && isExpectedAnswer(view, world), describe(view));
   }),
   define('<request> answered <count>', (args, world) => {
     const view = getRequest(args, world);
     const {outcome} = view;
     const status = outcome?.kind === 'answered' && outcome.answer.status;
-    return unless(status === args.getCount(1), describe(view));
+    return failUnless(status === args.getCount(1), describe(view));
   }),
   define('<request> refused <error>', (args, world) => {
     const view = getRequest(args, world);
     const {outcome} = view;
     const kind = outcome?.kind === 'refused' && outcome.error.kind;
-    return unless(kind === args.getText(1), describe(view));
+    return failUnless(kind === args.getText(1), describe(view));
   }),
   define('<request> open', (args, world) => {
     const view = getRequest(args, world);
-    return unless(view.outcome === undefined, describe(view));
+    return failUnless(view.outcome === undefined, describe(view));
   }),
   define('<request> within <duration>', (args, world) => {
     const view = getRequest(args, world);
     const endedAtMs = view.endedAtMs ?? Number.POSITIVE_INFINITY;
     const tookMs = endedAtMs - view.request.arrivedAtMs;
-    return unless(tookMs <= args.getDurationMs(1), `${tookMs} ms`);
+    return failUnless(tookMs <= args.getDurationMs(1), `${tookMs} ms`);
   }),
   define('<request> same as <request>', (args, world) => {
-    const first = textOf(getRequest(args, world));
-    const second = textOf(getRequest(args, world, 1));
-    return unless(
+    const first = getAnswerText(getRequest(args, world));
+    const second = getAnswerText(getRequest(args, world, 1));
+    return failUnless(
       first !== undefined && first === second,
       `${first ?? 'nothing'} and ${second ?? 'nothing'}`,
     );
@@ -110,63 +110,65 @@
     const {outcome} = view;
     const retryAfterMs =
       outcome?.kind === 'refused' ? outcome.error.retryAfterMs : undefined;
-    return unless(retryAfterMs !== undefined, describe(view));
+    return failUnless(retryAfterMs !== undefined, describe(view));
   }),
   define('key <name> run <count>', (args, world) => {
     const runs = sumRuns(world, args.getText(0));
-    return unless(runs === args.getCount(1), `${runs} runs`);
+    return failUnless(runs === args.getCount(1), `${runs} runs`);
   }),
   define('<ledger> run <count>', (args, world) => {
     const runs = world.ledgers.get(args.getText(0))!.books().runCount;
-    return unless(runs === args.getCount(1), `${runs} runs`);
+    return failUnless(runs === args.getCount(1), `${runs} runs`);
   }),
   define('<engine> prefills <count>', (args, world) => {
     const {prefillsFinished} = world.engines.get(args.getText(0))!.books();
     const isRight = prefillsFinished === args.getCount(1);
-    return unless(isRight, `${prefillsFinished} prefills`);
+    return failUnless(isRight, `${prefillsFinished} prefills`);
   }),
   define('<engine> decodes <count>', (args, world) => {
     const {runs} = world.engines.get(args.getText(0))!.books();
     const decodes = runs.reduce((sum, run) => sum + run.decodesStarted, 0);
-    return unless(decodes === args.getCount(1), `${decodes} decodes`);
+    return failUnless(decodes === args.getCount(1), `${decodes} decodes`);
   }),
   define('<engine> crashes <count>', (args, world) => {
     const {crashes} = world.engines.get(args.getText(0))!.books();
-    return unless(crashes === args.getCount(1), `${crashes} crashes`);
+    return failUnless(crashes === args.getCount(1), `${crashes} crashes`);
   }),
   define('<engine> asked late <count>', (args, world) => {
     const {workAfterLeavingMs} = world.engines.get(args.getText(0))!.books();
-    const late = workAfterLeavingMs.filter(ms => ms > LEAVING_BOUND_MS).length;
-    return unless(late === args.getCount(1), `${late} times`);
+    const late = workAfterLeavingMs.filter(
+      ms => ms > MAX_WORK_AFTER_LEAVING_MS,
+    ).length;
+    return failUnless(late === args.getCount(1), `${late} times`);
   }),
   define('crashes at most <count>', (args, world) => {
     const crashes = [...world.engines.values()].reduce(
       (sum, engine) => sum + engine.books().crashes,
       0,
     );
-    return unless(crashes <= args.getCount(0), `${crashes} crashes`);
+    return failUnless(crashes <= args.getCount(0), `${crashes} crashes`);
   }),
   define('wasted prefills <count>', (args, world) => {
     const wasted = [...world.engines.values()].reduce(
       (sum, engine) => sum + engine.books().prefillsWasted,
       0,
     );
-    return unless(wasted === args.getCount(0), `${wasted} wasted`);
+    return failUnless(wasted === args.getCount(0), `${wasted} wasted`);
   }),
   define('<engine> free', (args, world) => {
     const {sessions} = world.engines.get(args.getText(0))!.books();
-    return unless(sessions.length === 0, `${sessions.length} sessions`);
+    return failUnless(sessions.length === 0, `${sessions.length} sessions`);
   }),
   define('home queues <count>', (args, world) => {
     const queued = world.home.queuedCount();
-    return unless(queued === args.getCount(0), `${queued} requests`);
+    return failUnless(queued === args.getCount(0), `${queued} requests`);
   }),
   define('nothing held', (_, world) => {
     const held = findHeldSessions(world);
-    return unless(held.length === 0, held.join(', '));
+    return failUnless(held.length === 0, held.join(', '));
   }),
   define('<entry> active <count>', (args, world) => {
     const active = world.entries.get(args.getText(0))!.runner.activeCount();
-    return unless(active === args.getCount(1), `${active} active`);
+    return failUnless(active === args.getCount(1), `${active} active`);
   }),
 ];
--- a/src/scenario/scenario_home.ts
+++ b/src/scenario/scenario_home.ts
@@ -1,4 +1,4 @@
-/** The shard home of a scenario, and its watch over the engines. */
+/** The shard home of a scenario, with its polling of the engines. */
 
 import {createSeededRandom} from '../core/seeded_random.js';
 import type {EngineDescription} from '../core/scheduling/engine_book.js';
@@ -21,10 +21,10 @@
 export interface ScenarioHome extends GrantPort {
   addEngine(address: string, engine: EngineCore): void;
   entryGone(entryTag: string): void;
-  /** Requests that wait for a grant. */
+  /** The number of requests that wait for a grant. */
   queuedCount(): number;
   crash(): void;
-  /** Another process takes the shard over. */
+  /** Starts a new process that takes over the shard. */
   restart(): void;
   pause(): void;
   resume(): void;
@@ -56,9 +56,9 @@
   seed: number,
 ): ScenarioHome {
   const engines = new Map<string, EngineCore>();
-  const gone = new Set<string>();
+  const unreachableAddresses = new Set<string>();
   let epoch = 0;
-  let isUpdateDue = false;
+  let isUpdateScheduled = false;
   let current = start();
 
   function start(): Incarnation {
@@ -106,7 +106,9 @@
   }
 
   function updateEngines({home}: Incarnation): void {
-    const present = [...engines].filter(([address]) => !gone.has(address));
+    const present = [...engines].filter(
+      ([address]) => !unreachableAddresses.has(address),
+    );
     home.setEngines(present.map(([address, core]) => describe(address, core)));
   }
 
@@ -121,13 +123,13 @@
         clock: fence.clock,
         engine: fenceEngine(engine, fence),
         onLoad(report) {
-          if (gone.delete(address)) updateEngines(current);
+          if (unreachableAddresses.delete(address)) updateEngines(current);
           home.applyLoadReport(report);
         },
         onCacheEvents: events => home.applyCacheEvents(engineId, events),
         onGone() {
-          if (gone.has(address)) return;
-          gone.add(address);
+          if (unreachableAddresses.has(address)) return;
+          unreachableAddresses.add(address);
           home.engineGone(engineId);
         },
       },
@@ -136,26 +138,26 @@
   }
 
   function update(): void {
-    isUpdateDue = false;
+    isUpdateScheduled = false;
     updateEngines(current);
   }
 
-  function after(delayMs: number): Promise<void> {
+  function delay(delayMs: number): Promise<void> {
     return new Promise(resolve => clock.setTimer(delayMs, resolve));
   }
 
   return {
     async request(request, signal) {
-      await after(PEER_LATENCY_MS);
+      await delay(PEER_LATENCY_MS);
       const {home, fence} = current;
       if (fence.isDead()) return UNREACHABLE;
-      const answered = fence.admit(home.request(request, signal));
-      // A caller sees a home that died as a broken connection.
-      const broken = new Promise<GrantRefusal>(resolve =>
+      const answer = fence.deliverResult(home.request(request, signal));
+      // When a home dies, its callers' connections break.
+      const connectionLost = new Promise<GrantRefusal>(resolve =>
         watchDeath(fence, () => resolve(UNREACHABLE)),
       );
-      const outcome = await Promise.race([answered, broken]);
-      await after(PEER_LATENCY_MS);
+      const outcome = await Promise.race([answer, connectionLost]);
+      await delay(PEER_LATENCY_MS);
       return outcome;
     },
     report(grant, progress) {
@@ -166,9 +168,10 @@
     },
     addEngine(address, engine) {
       engines.set(address, engine);
-      // Engines named together are known together: a later one is cold.
-      if (!isUpdateDue) clock.setTimer(0, update);
-      isUpdateDue = true;
+      // Engines that are added together are announced in one update: the home
+      // treats one that comes later as cold.
+      if (!isUpdateScheduled) clock.setTimer(0, update);
+      isUpdateScheduled = true;
       poll(current, address, engine);
     },
     entryGone(entryTag) {
--- a/src/scenario/scenario_promises.ts
+++ b/src/scenario/scenario_invariants.ts
@@ -1,12 +1,12 @@
-/** The promises that are checked after every scenario, from outside. */
+/** Invariants that are checked after every scenario. */
 
 import {errorAnswers} from '../core/error_kinds.js';
 import {expectAnswer} from '../../stand_ins/answer_text.js';
 import {isModelRequest, type CallerView} from './scenario_requests.js';
 import type {World} from './scenario_world.js';
 
-/** True if the tokens are the ones that the engines give to this prompt. */
-export function isAnswerRight(view: CallerView, world: World): boolean {
+/** Whether the tokens are those that the engines generate for the prompt. */
+export function isExpectedAnswer(view: CallerView, world: World): boolean {
   const {request, tokens, outcome} = view;
   if (!isModelRequest(request) || outcome?.kind !== 'whole') return false;
   const decoder = [...world.engines.values()].find(
@@ -21,7 +21,7 @@
   );
 }
 
-/** Sessions that engines hold for anybody. */
+/** All sessions that engines hold, as sentences. */
 export function findHeldSessions(world: World): readonly string[] {
   return [...world.engines].flatMap(([name, engine]) => {
     const {isUp, sessions} = engine.books();
@@ -32,9 +32,9 @@
   });
 }
 
-type PromiseCheck = (world: World) => readonly string[];
+type InvariantCheck = (world: World) => readonly string[];
 
-const checks: readonly PromiseCheck[] = [
+const invariantChecks: readonly InvariantCheck[] = [
   checkSinks,
   checkWholeAnswers,
   checkSingleRuns,
@@ -42,9 +42,9 @@
   checkHeldMemory,
 ];
 
-/** Broken promises, one sentence each. */
-export function findBrokenPromises(world: World): readonly string[] {
-  return checks.flatMap(check => check(world));
+/** Violated invariants, one sentence each. */
+export function findViolations(world: World): readonly string[] {
+  return invariantChecks.flatMap(check => check(world));
 }
 
 function checkSinks(world: World): readonly string[] {
@@ -55,7 +55,8 @@
 
 function checkWholeAnswers(world: World): readonly string[] {
   return [...world.requests.values()].flatMap(view => {
-    if (view.outcome?.kind !== 'whole' || isAnswerRight(view, world)) return [];
+    if (view.outcome?.kind !== 'whole' || isExpectedAnswer(view, world))
+      return [];
     return [`${view.name} got another answer than its own`];
   });
 }
--- a/src/scenario/scenario_journal.ts
+++ b/src/scenario/scenario_journal.ts
@@ -1,6 +1,6 @@
 /**
- * The journal partition of a scenario: one owner by a lease row in the
- * platform's table, told by the scenario which process it is.
+ * The journal partition of a scenario. Its owner holds a lease row in the
+ * platform's table; the scenario decides which process that is.
  */
 
 import {createSeededRandom} from '../core/seeded_random.js';
@@ -18,9 +18,9 @@
 import {PEER_LATENCY_MS, RETENTION_MS} from './scenario_names.js';
 
 export interface ScenarioJournal extends JournalPort {
-  /** Makes a process the owner, with the next epoch; the older is not told. */
+  /** Makes a process the owner in a new epoch, without notice to the old one. */
   takeOver(name: string, fence: ProcessFence): Promise<boolean>;
-  /** True if the process takes part at all. */
+  /** Whether any process has become the owner. */
   hasOwner(): boolean;
 }
 
@@ -74,7 +74,8 @@
         log: host.log,
         table: fenceTable(platform.table, fence),
         objectStore: fenceObjects(platform.objects, fence),
-        // A paused holder still believes in its lease; the table does not.
+        // A paused holder doesn't notice that its lease has been taken over,
+        // so the table checks the epoch.
         fence: () => ({
           epoch: ownEpoch,
           condition: {
@@ -95,27 +96,27 @@
     return {fence, journal};
   }
 
-  function after(delayMs: number): Promise<void> {
+  function delay(delayMs: number): Promise<void> {
     return new Promise(resolve => clock.setTimer(delayMs, resolve));
   }
 
-  /** A call to the owner: lost with its death, bounded by the caller's wait. */
+  /** Calls the owner; fails if it is dead or doesn't answer in time. */
   async function call<T>(
     timeoutMs: number,
     failed: T,
     run: (journal: JournalOwner) => Promise<T>,
   ): Promise<T> {
-    await after(PEER_LATENCY_MS);
+    await delay(PEER_LATENCY_MS);
     const target = owner;
     if (!target || target.fence.isDead()) return failed;
     const answer = new Promise<T>(resolve =>
       target.fence.deliver(() => {
-        void target.fence.admit(run(target.journal)).then(resolve);
+        void target.fence.deliverResult(run(target.journal)).then(resolve);
       }),
     );
-    const timeout = after(timeoutMs).then(() => failed);
+    const timeout = delay(timeoutMs).then(() => failed);
     const result = await Promise.race([answer, timeout]);
-    await after(PEER_LATENCY_MS);
+    await delay(PEER_LATENCY_MS);
     return result;
   }
 
--- a/src/scenario/scenario_lexer.ts
+++ b/src/scenario/scenario_lexer.ts
@@ -1,4 +1,4 @@
-/** Words of the scenario language, by chevrotain's lexer. */
+/** Lexer of the scenario language, by chevrotain. */
 
 import {createToken, Lexer, type IToken} from 'chevrotain';
 import {
@@ -9,7 +9,7 @@
 } from '../core/diagnostics.js';
 import type {SourceText} from '../core/settings_yaml.js';
 
-/** What a word of a line is. */
+/** The kind of a word. */
 export type WordKind = 'name' | 'count' | 'duration' | 'percent' | 'text';
 
 export interface Word {
@@ -18,21 +18,21 @@
   readonly position: SourcePosition;
 }
 
-/** One line that is not empty and no comment. */
+/** A line that is neither empty nor a comment. */
 export interface ScenarioLine {
   readonly words: readonly Word[];
-  /** Just past the last word. */
+  /** The position after the last word. */
   readonly end: SourcePosition;
 }
 
 export interface LexedScenario {
   /** The comment lines before the first statement. */
-  readonly story: readonly string[];
+  readonly description: readonly string[];
   readonly lines: readonly ScenarioLine[];
   readonly diagnostics: readonly Diagnostic[];
 }
 
-/** Bounds the work that one hostile file can cause. */
+/** Limits the work that a malicious file can cause. */
 const MAX_CHARS = 256 * 1024;
 
 const newline = createToken({
@@ -72,7 +72,7 @@
   if (source.text.length > MAX_CHARS) {
     const start = {file, line: 1, column: 1};
     return {
-      story: [],
+      description: [],
       lines: [],
       diagnostics: [
         createDiagnostic(start, diagnosticMessages.yamlTooLarge, MAX_CHARS),
@@ -93,8 +93,8 @@
 function splitLines(
   tokens: readonly IToken[],
   file: string,
-): Pick<LexedScenario, 'story' | 'lines'> {
-  const story: string[] = [];
+): Pick<LexedScenario, 'description' | 'lines'> {
+  const description: string[] = [];
   const lines: ScenarioLine[] = [];
   let words: Word[] = [];
   let end: SourcePosition = {file, line: 1, column: 1};
@@ -106,7 +106,7 @@
     const kind = wordKinds.get(token.tokenType.name);
     if (token.tokenType === newline) finishLine();
     if (token.tokenType === comment && lines.length === 0 && !words.length) {
-      story.push(token.image.slice(1).trim());
+      description.push(token.image.slice(1).trim());
     }
     if (!kind) continue;
     const line = token.startLine ?? 1;
@@ -115,7 +115,7 @@
     end = {file, line, column: column + token.image.length};
   }
   finishLine();
-  return {story, lines};
+  return {description, lines};
 }
 
 const UNIT_MS: Readonly<Record<string, number>> = {ms: 1, s: 1000, m: 60_000};
--- a/src/scenario/scenario_names.ts
+++ b/src/scenario/scenario_names.ts
@@ -1,4 +1,4 @@
-/** Fixed names and figures of every scenario's site. */
+/** Names and constants that all scenarios share. */
 
 import {tokenizePrompt} from '../core/prompt_tokens.js';
 import type {LatencyTargets} from '../core/settings_types.js';
@@ -8,10 +8,10 @@
 export const ACCOUNT = 'kirikukoorid';
 export const FAILURE_DOMAIN = 'ylikool-saal';
 
-/** One way between our own processes. */
+/** One-way latency between the product's processes. */
 export const PEER_LATENCY_MS = 1.5;
-/** Until the other processes know of a death. */
-export const DEATH_NOTICED_MS = 2_500;
+/** Time until the other processes detect that one has died. */
+export const DEATH_DETECTION_MS = 2_500;
 export const RETENTION_MS = 600_000;
 
 export const MODEL_TARGETS: LatencyTargets = {
@@ -22,6 +22,6 @@
 
 export const PLAIN_WAIT_MS = 2_000;
 
-/** An engine that runs a prompt with this word dies. */
+/** An engine that runs a prompt with this word crashes. */
 export const POISON_WORD = 'poison';
 export const POISON_TOKENS = tokenizePrompt(POISON_WORD);
--- a/src/scenario/scenario_parser.ts
+++ b/src/scenario/scenario_parser.ts
@@ -1,4 +1,4 @@
-/** Scenario text to checked statements, or diagnostics with their places. */
+/** Parses the text of a scenario to statements and diagnostics. */
 
 import {
   createDiagnostic,
@@ -23,7 +23,7 @@
   type StatementShape,
 } from './statement_shape.js';
 
-/** Arguments of one statement, in the order of its pattern. */
+/** The arguments of a statement, in the order of its pattern. */
 export interface StatementArguments {
   /** The text of the argument at an index. */
   getText(index: number): string;
@@ -42,24 +42,24 @@
   readonly definition: T;
   readonly args: StatementArguments;
   readonly line: number;
-  /** As written, with single spaces. */
+  /** The source text, with single spaces. */
   readonly text: string;
 }
 
-/** A statement that the language knows. */
+/** A statement of the language. */
 export interface StatementDefinition {
   readonly shape: StatementShape;
 }
 
 export interface ParsedScenario<T> {
-  readonly story: readonly string[];
+  readonly description: readonly string[];
   readonly statements: ReadonlyArray<Statement<T>>;
   readonly diagnostics: readonly Diagnostic[];
 }
 
-const MIN_STORY_LINES = 2;
-const MAX_STORY_LINES = 5;
-/** Nodes that every scenario has. */
+const MIN_DESCRIPTION_LINES = 2;
+const MAX_DESCRIPTION_LINES = 5;
+/** Nodes that exist in every scenario. */
 const BUILT_IN: ReadonlyMap<string, NodeKind> = new Map([
   ['platform', 'node'],
   ['home', 'node'],
@@ -69,25 +69,25 @@
 export function parseScenario<T extends StatementDefinition>(
   source: SourceText,
   definitions: readonly T[],
-  guardWord: string,
+  guardKeyword: string,
 ): ParsedScenario<T> {
   const lexed = lexScenario(source);
   const diagnostics: Diagnostic[] = [...lexed.diagnostics];
   const start = {file: source.file, line: 1, column: 1};
   if (
-    lexed.story.length < MIN_STORY_LINES ||
-    lexed.story.length > MAX_STORY_LINES
+    lexed.description.length < MIN_DESCRIPTION_LINES ||
+    lexed.description.length > MAX_DESCRIPTION_LINES
   ) {
     diagnostics.push(
       createDiagnostic(
         start,
         diagnosticMessages.scenarioStory,
-        MIN_STORY_LINES,
-        MAX_STORY_LINES,
+        MIN_DESCRIPTION_LINES,
+        MAX_DESCRIPTION_LINES,
       ),
     );
   }
-  if (!lexed.lines.some(({words}) => words[0].image === guardWord)) {
+  if (!lexed.lines.some(({words}) => words[0].image === guardKeyword)) {
     diagnostics.push(createDiagnostic(start, diagnosticMessages.scenarioGuard));
   }
   const names = new Map<string, NodeKind>(BUILT_IN);
@@ -100,13 +100,13 @@
     return [{definition, args, line: line.words[0].position.line, text}];
   });
   return {
-    story: lexed.story,
+    description: lexed.description,
     statements,
     diagnostics: sortDiagnostics(diagnostics),
   };
 }
 
-/** The definition whose leading words match most of the line. */
+/** The definition with the most literal words that match the line. */
 function findDefinition<T extends StatementDefinition>(
   line: ScenarioLine,
   definitions: readonly T[],
@@ -120,11 +120,11 @@
     );
   if (matching.length > 0) return matching[0];
   const firstWord = images[0];
-  const near = definitions.filter(
+  const candidates = definitions.filter(
     ({shape}) => getLeadingWords(shape)[0] === firstWord,
   );
-  // The first word is known: the shape with most in common explains best.
-  const best = near.sort(
+  // Diagnostics refer to the most similar shape with the same first word.
+  const best = candidates.sort(
     (a, b) => countMatches(b.shape, images) - countMatches(a.shape, images),
   )[0];
   if (best) return best;
@@ -160,13 +160,13 @@
   ).length;
 }
 
-/** Reads the words of one line against a shape; reports the first mistake. */
+/** Matches the words of a line with a shape; reports the first mistake. */
 function createLineReader(
   line: ScenarioLine,
   names: Map<string, NodeKind>,
   diagnostics: Diagnostic[],
 ) {
-  let next = 0;
+  let nextIndex = 0;
   let hasFailed = false;
 
   function fail(diagnostic: Diagnostic): undefined {
@@ -176,7 +176,7 @@
   }
 
   function readPart(part: ShapePart): string | undefined {
-    const word = line.words[next];
+    const word = line.words[nextIndex];
     if (!word) {
       return fail(
         createDiagnostic(
@@ -186,9 +186,9 @@
         ),
       );
     }
-    next++;
+    nextIndex++;
     if (part.kind === 'literal') return readLiteral(part.word, word);
-    if (!isWordFor(part.type, word)) {
+    if (!isWordOfType(part.type, word)) {
       return fail(
         createDiagnostic(
           word.position,
@@ -236,9 +236,9 @@
       names.set(word.image, type);
       return;
     }
-    const isFitting =
+    const isKindAllowed =
       type === 'node' ? known && known !== 'request' : known === type;
-    if (isFitting) return;
+    if (isKindAllowed) return;
     const others = [...names].flatMap(([name, kind]) =>
       type === 'node' || kind === type ? [name] : [],
     );
@@ -257,8 +257,8 @@
     shape: StatementShape,
   ): ReadonlyMap<string, readonly string[]> {
     const given = new Map<string, readonly string[]>();
-    while (next < line.words.length && !hasFailed) {
-      const word = line.words[next];
+    while (nextIndex < line.words.length && !hasFailed) {
+      const word = line.words[nextIndex];
       const option = shape.options.find(
         ([head]) => head.kind === 'literal' && head.word === word.image,
       );
@@ -343,7 +343,7 @@
   return NODE_KINDS.includes(type);
 }
 
-function isWordFor(type: ArgumentKind, word: Word): boolean {
+function isWordOfType(type: ArgumentKind, word: Word): boolean {
   if (type === 'error') return ERROR_KINDS.includes(word.image);
   if (isNodeKind(type)) return word.kind === 'name';
   return word.kind === type;
@@ -353,7 +353,7 @@
   return type === 'error' ? formatSuggestion(word.image, ERROR_KINDS) : '';
 }
 
-const ARGUMENT_WORDS: Readonly<Record<ArgumentKind, string>> = {
+const ARGUMENT_DESCRIPTIONS: Readonly<Record<ArgumentKind, string>> = {
   count: 'a whole number',
   duration: 'a duration like 500ms or 2s',
   percent: 'a share like 50%',
@@ -368,5 +368,7 @@
 };
 
 function describePart(part: ShapePart): string {
-  return part.kind === 'literal' ? `'${part.word}'` : ARGUMENT_WORDS[part.type];
+  return part.kind === 'literal'
+    ? `'${part.word}'`
+    : ARGUMENT_DESCRIPTIONS[part.type];
 }
--- a/src/scenario/scenario_requests.ts
+++ b/src/scenario/scenario_requests.ts
@@ -1,4 +1,4 @@
-/** Requests of a scenario and what their callers saw. */
+/** The requests of a scenario and their outcomes for the callers. */
 
 import {createHash} from 'node:crypto';
 import {errorAnswers, type RequestError} from '../core/error_kinds.js';
@@ -12,13 +12,13 @@
 import type {StoredAnswer} from '../ports/journal.js';
 import type {ProcessFence} from './process_fence.js';
 
-/** How a request ended for its caller. */
+/** The end of a request for its caller. */
 export type CallerOutcome =
   | {readonly kind: 'whole'; readonly tokenCount: number}
   | {readonly kind: 'answered'; readonly answer: StoredAnswer}
   | {readonly kind: 'refused'; readonly error: RequestError};
 
-/** One request as its caller sees it. */
+/** A request with what its caller has received so far. */
 export interface CallerView {
   readonly name: string;
   readonly entry: string;
@@ -28,7 +28,7 @@
   readonly outcome: CallerOutcome | undefined;
   readonly endedAtMs: number | undefined;
   readonly isHungUp: boolean;
-  /** What broke a promise of the sink: a gap, a repeat, a second end. */
+  /** Violations of the sink's contract: a gap, a repeat or a second end. */
   readonly violations: readonly string[];
   hangUp(): void;
 }
@@ -38,7 +38,7 @@
   trace(text: string): void;
 }
 
-interface MutableView {
+interface CallerState {
   tokens: string[];
   outcome: CallerOutcome | undefined;
   endCount: number;
@@ -47,14 +47,14 @@
   violations: string[];
 }
 
-/** The sinks of one request; the process writes to one of them. */
+/** The sinks of a request; the process writes to one of them. */
 export interface CallerSinks {
   readonly model: ModelAnswerSink;
   readonly plain: PlainAnswerSink;
 }
 
-/** Opens a request; `start` hands it to the process. */
-export function openRequest(
+/** Starts a request; `start` passes it to the process. */
+export function startRequest(
   host: CallerHost,
   fence: ProcessFence,
   name: string,
@@ -62,7 +62,7 @@
   request: ModelRequest | PlainRequest,
   start: (sinks: CallerSinks) => RunningRequest,
 ): CallerView {
-  const view: MutableView = {
+  const view: CallerState = {
     tokens: [],
     outcome: undefined,
     endCount: 0,
@@ -102,7 +102,7 @@
 function createSinks(
   host: CallerHost,
   name: string,
-  view: MutableView,
+  view: CallerState,
 ): CallerSinks {
   const finish = (outcome: CallerOutcome, text: string) => {
     if (view.isHungUp) return;
@@ -143,7 +143,7 @@
   };
 }
 
-/** Fingerprint of a request, as the front makes it from its content. */
+/** The fingerprint of a request's content, as the front computes it. */
 export function createFingerprint(...parts: readonly string[]): string {
   return createHash('sha256').update(parts.join('\n')).digest('hex');
 }
--- a/src/scenario/scenario_runner.ts
+++ b/src/scenario/scenario_runner.ts
@@ -3,25 +3,26 @@
 import {formatDiagnostics, type Diagnostic} from '../core/diagnostics.js';
 import type {SourceText} from '../core/settings_yaml.js';
 import {parseScenario} from './scenario_parser.js';
-import {findBrokenPromises} from './scenario_promises.js';
-import {GUARD_WORD, statementDefinitions} from './scenario_statements.js';
+import {findViolations} from './scenario_invariants.js';
+import {GUARD_KEYWORD, statementDefinitions} from './scenario_statements.js';
 import {createWorld, type World} from './scenario_world.js';
 
 export interface ScenarioResult {
   readonly isPassed: boolean;
-  /** The story, then one line an event, then the verdict. */
+  /** The description, one line for each event, and the result. */
   readonly trace: string;
   readonly diagnostics: readonly Diagnostic[];
 }
 
 const SEED = 1;
-/** In this time all that a gone request held must be free. */
+/** Resources of ended requests must be released within this time. */
 const SETTLE_MS = 15_000;
 
 export interface ScenarioOptions {
   /**
-   * Baselines have the order of events only: the times follow each change of
-   * a policy, and `expect … within` states those that matter.
+   * Whether the trace has the times of events. Baselines have only their
+   * order, since the times change with each change of a policy; scenarios
+   * check the times that matter by `expect … within`.
    */
   readonly hasTimes: boolean;
 }
@@ -30,7 +31,7 @@
   source: SourceText,
   options: ScenarioOptions,
 ): Promise<ScenarioResult> {
-  const parsed = parseScenario(source, statementDefinitions, GUARD_WORD);
+  const parsed = parseScenario(source, statementDefinitions, GUARD_KEYWORD);
   if (parsed.diagnostics.length > 0) {
     const trace = formatDiagnostics(parsed.diagnostics);
     return {isPassed: false, trace, diagnostics: parsed.diagnostics};
@@ -43,30 +44,30 @@
     failures.push(`line ${line}: ${text}: ${failure.reason}`);
   }
   await world.clock.advance(SETTLE_MS);
-  failures.push(...findBrokenPromises(world));
+  failures.push(...findViolations(world));
   return {
     isPassed: failures.length === 0,
-    trace: formatTrace(parsed.story, world, failures, options),
+    trace: formatTrace(parsed.description, world, failures, options),
     diagnostics: [],
   };
 }
 
 function formatTrace(
-  story: readonly string[],
+  description: readonly string[],
   world: World,
   failures: readonly string[],
   {hasTimes}: ScenarioOptions,
 ): string {
-  const verdict =
+  const resultLines =
     failures.length === 0
       ? ['passed']
       : failures.map(failure => `FAILED ${failure}`);
   return [
-    ...story.map(line => `# ${line}`),
+    ...description.map(line => `# ${line}`),
     ...world.traceLines.map(({atMs, text}) =>
       hasTimes ? `${formatSeconds(atMs)}  ${text}` : `  ${text}`,
     ),
-    ...verdict,
+    ...resultLines,
     '',
   ].join('\n');
 }
--- a/src/scenario/scenario_statements.ts
+++ b/src/scenario/scenario_statements.ts
@@ -1,4 +1,4 @@
-/** The statements of the language: a table of shapes and what each does. */
+/** The statements of the scenario language: their patterns and actions. */
 
 import type {EngineCore} from '../../stand_ins/engine_core.js';
 import type {EngineOptions} from '../../stand_ins/engine_types.js';
@@ -11,23 +11,23 @@
 import type {World} from './scenario_world.js';
 import {parseShape, type StatementShape} from './statement_shape.js';
 
-export interface StatementDefinitionWithRun {
-  /** As the reference shows it. */
+export interface ExecutableStatement {
+  /** The syntax that the reference shows. */
   readonly pattern: string;
   readonly shape: StatementShape;
-  /** The result, if any, says why the scenario fails here. */
+  /** Returns the reason if the scenario fails at this statement. */
   run(
     args: StatementArguments,
     world: World,
   ): ExpectationFailure | void | Promise<ExpectationFailure | void>;
 }
 
-export const GUARD_WORD = 'guard';
+export const GUARD_KEYWORD = 'guard';
 
 const define = (
   pattern: string,
-  run: StatementDefinitionWithRun['run'],
-): StatementDefinitionWithRun => ({
+  run: ExecutableStatement['run'],
+): ExecutableStatement => ({
   pattern,
   shape: parseShape(pattern),
   run,
@@ -37,8 +37,8 @@
   '[slots <count>] [answer <count>] [step <duration>] [restart <duration>] ' +
   '[prefill-life <duration>] [crash-at-decode]';
 
-const setup: readonly StatementDefinitionWithRun[] = [
-  // Which code the scenario guards, with the text to take out; see
+const setup: readonly ExecutableStatement[] = [
+  // The file, the code that the scenario guards, and its replacement; see
   // scripts/check_guards.mjs.
   define('guard <name> <text> <text>', () => undefined),
   define('entry <+entry>', (args, world) => world.addEntry(args.getText(0))),
@@ -67,7 +67,7 @@
   );
 }
 
-const requests: readonly StatementDefinitionWithRun[] = [
+const requests: readonly ExecutableStatement[] = [
   define(
     'model <+request> at <entry> prompt <count> tokens <count> ' +
       '[key <name>] [patient] [wait <duration>] [poison]',
@@ -96,7 +96,7 @@
         requestClass: args.hasOption('patient') ? 'patient' : 'interactive',
         waitMs: args.findDurationMs('wait'),
         isPoison: false,
-        like: args.getText(2),
+        copyOf: args.getText(2),
       }),
   ),
   define(
@@ -127,7 +127,7 @@
   });
 }
 
-/** What can be done to a process, whatever it is. */
+/** Actions on a process of any kind. */
 interface NodeActions {
   crash(): void;
   restart(): void | Promise<void>;
@@ -156,37 +156,37 @@
   };
 }
 
-const traced = (
+const defineTraced = (
   pattern: string,
   run: (args: StatementArguments, world: World) => void | Promise<void>,
   describe: (args: StatementArguments) => string,
-): StatementDefinitionWithRun =>
+): ExecutableStatement =>
   define(pattern, (args, world) => {
     world.trace(`* ${describe(args)}`);
     return run(args, world);
   });
 
-const onNode = (
+const defineNodeFault = (
   word: string,
   act: (node: NodeActions) => void | Promise<void>,
 ) =>
-  traced(
+  defineTraced(
     `${word} <node>`,
     (args, world) => act(findNode(args.getText(0), world)),
     args => `${word} ${args.getText(0)}`,
   );
 
-const faults: readonly StatementDefinitionWithRun[] = [
-  onNode('crash', node => node.crash()),
-  onNode('restart', node => node.restart()),
-  onNode('pause', node => node.pause()),
-  onNode('resume', node => node.resume()),
-  traced(
+const faults: readonly ExecutableStatement[] = [
+  defineNodeFault('crash', node => node.crash()),
+  defineNodeFault('restart', node => node.restart()),
+  defineNodeFault('pause', node => node.pause()),
+  defineNodeFault('resume', node => node.resume()),
+  defineTraced(
     'crash engine of <request>',
-    (args, world) => findEngineOf(args.getText(0), world)?.crash(),
+    (args, world) => findServingEngine(args.getText(0), world)?.crash(),
     args => `the engine that runs ${args.getText(0)} dies`,
   ),
-  traced(
+  defineTraced(
     'silence <node> [connections <count>]',
     (args, world) => {
       const name = args.getText(0);
@@ -195,7 +195,7 @@
     },
     args => `the connections to ${args.getText(0)} go silent`,
   ),
-  traced(
+  defineTraced(
     'leave <node>',
     (args, world) => {
       const name = args.getText(0);
@@ -204,13 +204,13 @@
     },
     args => `${args.getText(0)} is leaving`,
   ),
-  traced(
+  defineTraced(
     'stall transfers from <engine>',
     (args, world) =>
       world.engines.get(args.getText(0))!.setFaults({stallTransfers: true}),
     args => `transfers from ${args.getText(0)} stall`,
   ),
-  traced(
+  defineTraced(
     'slow <node> by <count>',
     (args, world) => {
       const name = args.getText(0);
@@ -220,7 +220,7 @@
     },
     args => `${args.getText(0)} is ${args.getCount(1)} times slower`,
   ),
-  traced(
+  defineTraced(
     'repeat <percent> of frames of <engine>',
     (args, world) =>
       world.engines
@@ -228,7 +228,7 @@
         .setFaults({staleFrameShare: args.getShare(0)}),
     args => `${args.getText(1)} sends frames again, late`,
   ),
-  traced(
+  defineTraced(
     'delay answers of <node> up to <duration>',
     (args, world) => {
       const name = args.getText(0);
@@ -238,7 +238,7 @@
     },
     args => `answers of ${args.getText(0)} are late and cross`,
   ),
-  traced(
+  defineTraced(
     'lose <percent> of answers of <ledger>',
     (args, world) =>
       world.ledgers
@@ -246,12 +246,12 @@
         .setFaults({answerLostShare: args.getShare(0)}),
     args => `${args.getText(1)} loses answers`,
   ),
-  traced(
+  defineTraced(
     'platform down',
     (_, world) => world.platform.setFaults({isDown: true}),
     () => 'the platform is down',
   ),
-  traced(
+  defineTraced(
     'platform normal',
     (_, world) =>
       world.platform.setFaults({
@@ -264,18 +264,18 @@
       }),
     () => 'the platform works again',
   ),
-  traced(
+  defineTraced(
     'platform slow by <duration>',
     (args, world) => world.platform.setFaults({slowMs: args.getDurationMs(0)}),
     () => 'the platform is slow',
   ),
-  traced(
+  defineTraced(
     'platform loses <percent> of answers',
     (args, world) =>
       world.platform.setFaults({answerLostShare: args.getShare(0)}),
     () => 'the platform writes and loses the answers',
   ),
-  traced(
+  defineTraced(
     'platform applies <percent> of writes late by <duration>',
     (args, world) =>
       world.platform.setFaults({
@@ -284,21 +284,21 @@
       }),
     () => 'the platform writes late and loses the answers',
   ),
-  traced(
+  defineTraced(
     'journal moves to <entry>',
     async (args, world) => {
       const name = args.getText(0);
       const {fence} = world.entries.get(name)!;
       const done = world.journal.takeOver(name, fence);
-      await world.clock.advance(LEASE_STEP_MS);
+      await world.clock.advance(TAKEOVER_MS);
       await done;
     },
     args => `${args.getText(0)} takes the journal over`,
   ),
 ];
 
-/** The engine that decodes a request, or else one that holds for it. */
-function findEngineOf(name: string, world: World): EngineCore | undefined {
+/** The engine that decodes a request, or else one with a session for it. */
+function findServingEngine(name: string, world: World): EngineCore | undefined {
   const {requestId} = world.requests.get(name)!.request;
   const holders = [...world.engines.values()].filter(engine =>
     engine.books().sessions.some(({owner}) => owner.requestId === requestId),
@@ -307,19 +307,20 @@
   return holders.find(isDecoder) ?? holders[0];
 }
 
-const LEASE_STEP_MS = 20;
+const TAKEOVER_MS = 20;
 const UNTIL_STEP_MS = 1;
-const UNTIL_BOUND_MS = 120_000;
+const UNTIL_TIMEOUT_MS = 120_000;
 
-const time: readonly StatementDefinitionWithRun[] = [
+const time: readonly ExecutableStatement[] = [
   define('wait <duration>', (args, world) =>
     world.clock.advance(args.getDurationMs(0)),
   ),
   ...conditionDefinitions.map(({pattern, holds}) =>
     define(`until ${pattern}`, async (args, world) => {
-      const boundMs = world.clock.nowMs() + UNTIL_BOUND_MS;
+      const deadlineAtMs = world.clock.nowMs() + UNTIL_TIMEOUT_MS;
       while (!holds(args, world)) {
-        if (world.clock.nowMs() >= boundMs) return {reason: 'it never came'};
+        if (world.clock.nowMs() >= deadlineAtMs)
+          return {reason: 'it never came'};
         await world.clock.advance(UNTIL_STEP_MS);
       }
       return undefined;
@@ -327,10 +328,10 @@
   ),
 ];
 
-/** Statements of one kind, under the heading of the reference. */
+/** Statements of one kind, with their heading in the reference. */
 export interface StatementGroup {
   readonly title: string;
-  readonly definitions: readonly StatementDefinitionWithRun[];
+  readonly definitions: readonly ExecutableStatement[];
 }
 
 export const statementGroups: readonly StatementGroup[] = [
@@ -341,5 +342,5 @@
   {title: 'Expectations', definitions: expectationDefinitions},
 ];
 
-export const statementDefinitions: readonly StatementDefinitionWithRun[] =
+export const statementDefinitions: readonly ExecutableStatement[] =
   statementGroups.flatMap(group => group.definitions);
--- a/src/scenario/scenario_world.ts
+++ b/src/scenario/scenario_world.ts
@@ -34,7 +34,7 @@
 } from './scenario_journal.js';
 import {
   ACCOUNT,
-  DEATH_NOTICED_MS,
+  DEATH_DETECTION_MS,
   FAILURE_DOMAIN,
   MODEL_SERVICE,
   MODEL_TARGETS,
@@ -47,11 +47,11 @@
 import {
   createFingerprint,
   isModelRequest,
-  openRequest,
+  startRequest,
   type CallerView,
 } from './scenario_requests.js';
 
-export interface ModelWish {
+export interface ModelRequestOptions {
   readonly name: string;
   readonly entry: string;
   readonly promptTokenCount: number;
@@ -60,11 +60,11 @@
   readonly requestClass: RequestClass;
   readonly waitMs?: number;
   readonly isPoison: boolean;
-  /** Takes prompt and limits of an earlier request. */
-  readonly like?: string;
+  /** The request whose prompt and token limit are copied. */
+  readonly copyOf?: string;
 }
 
-export interface PlainWish {
+export interface PlainRequestOptions {
   readonly name: string;
   readonly entry: string;
   readonly key?: string;
@@ -73,7 +73,7 @@
   readonly isRepeatable: boolean;
 }
 
-/** One event of a trace, on the virtual clock. */
+/** One event of a trace, with its virtual time. */
 export interface TraceLine {
   readonly atMs: number;
   readonly text: string;
@@ -93,11 +93,11 @@
   addEntry(name: string): Promise<void>;
   addEngine(name: string, options: Partial<EngineOptions>): void;
   addLedger(name: string, runMs: number | undefined): void;
-  startModel(wish: ModelWish): void;
-  startPlain(wish: PlainWish): void;
-  /** Kills an entry; its peers notice later. */
+  startModel(options: ModelRequestOptions): void;
+  startPlain(options: PlainRequestOptions): void;
+  /** Kills an entry; its peers detect this later. */
   killEntry(name: string): void;
-  /** A new process in the place of a dead entry. */
+  /** Replaces an entry by a new process. */
   replaceEntry(name: string): Promise<void>;
 }
 
@@ -113,11 +113,11 @@
   const enginesByAddress = new Map<string, EngineCore>();
   const ledgers = new Map<string, ServiceCore>();
   const requests = new Map<string, CallerView>();
-  const goneTags = new Set<string>();
+  const deadTags = new Set<string>();
   let nextSeed = seed;
 
   const platform = createPlatformCore(standInHost(), {latencyMs: 1});
-  const isEntryAlive = (tag: string) => !goneTags.has(tag);
+  const isEntryAlive = (tag: string) => !deadTags.has(tag);
   const home = createScenarioHome(
     {clock, log: silentLog, isEntryAlive},
     nextSeed++,
@@ -135,16 +135,16 @@
     traceLines.push({atMs: clock.nowMs(), text});
   }
 
-  const indexAtOwner = createAnswerIndex({clock});
+  const ownerIndex = createAnswerIndex({clock});
   const answerIndex: AnswerIndexPort = {
     async find(key, timeoutMs) {
-      await after(PEER_LATENCY_MS * 2);
-      return indexAtOwner.find(key, timeoutMs);
+      await delay(PEER_LATENCY_MS * 2);
+      return ownerIndex.find(key, timeoutMs);
     },
-    announce: (key, place) => indexAtOwner.announce(key, place),
+    announce: (key, place) => ownerIndex.announce(key, place),
   };
 
-  function after(delayMs: number): Promise<void> {
+  function delay(delayMs: number): Promise<void> {
     return new Promise(resolve => clock.setTimer(delayMs, resolve));
   }
 
@@ -152,11 +152,13 @@
     address: string,
     ...args: Parameters<ScenarioEntry['keptAnswers']['serveRead']>
   ): Promise<AnswerPart> {
-    await after(PEER_LATENCY_MS);
+    await delay(PEER_LATENCY_MS);
     const target = entries.get(address);
     if (!target || target.fence.isDead()) return {kind: 'failed'};
-    const read = target.fence.admit(target.keptAnswers.serveRead(...args));
-    const failed = after(args[2] + MS_PER_SECOND).then((): AnswerPart => ({
+    const read = target.fence.deliverResult(
+      target.keptAnswers.serveRead(...args),
+    );
+    const failed = delay(args[2] + MS_PER_SECOND).then((): AnswerPart => ({
       kind: 'failed',
     }));
     return Promise.race([read, failed]);
@@ -204,55 +206,55 @@
     for (const entry of entries.values()) entry.setLedgers(upstreams);
   }
 
-  function createModelRequest(wish: ModelWish): ModelRequest {
-    const model = wish.like && requests.get(wish.like)?.request;
+  function createModelRequest(options: ModelRequestOptions): ModelRequest {
+    const model = options.copyOf && requests.get(options.copyOf)?.request;
     const copied = model && isModelRequest(model) ? model : undefined;
     const words = Array.from(
-      {length: wish.promptTokenCount},
-      (_, i) => `${wish.name}-${i}`,
+      {length: options.promptTokenCount},
+      (_, i) => `${options.name}-${i}`,
     );
-    if (wish.isPoison) words.push(POISON_WORD);
+    if (options.isPoison) words.push(POISON_WORD);
     const promptTokens =
       copied?.promptTokens ?? tokenizePrompt(words.join(' '));
-    const maxTokens = copied?.maxTokens ?? wish.maxTokens;
+    const maxTokens = copied?.maxTokens ?? options.maxTokens;
     const nowMs = clock.nowMs();
     return {
-      requestId: `${wish.name}-request`,
+      requestId: `${options.name}-request`,
       service: MODEL_SERVICE,
       account: ACCOUNT,
-      requestClass: wish.requestClass,
+      requestClass: options.requestClass,
       model: MODEL_SERVICE,
       promptTokens,
       maxTokens,
-      idempotencyKey: wish.key,
+      idempotencyKey: options.key,
       fingerprint: createFingerprint(
         ...promptTokens.map(String),
         String(maxTokens),
       ),
       arrivedAtMs: nowMs,
-      deadlineAtMs: nowMs + (wish.waitMs ?? MODEL_TARGETS.waitMs),
+      deadlineAtMs: nowMs + (options.waitMs ?? MODEL_TARGETS.waitMs),
     };
   }
 
-  function createPlainRequest(wish: PlainWish): PlainRequest {
+  function createPlainRequest(options: PlainRequestOptions): PlainRequest {
     const nowMs = clock.nowMs();
-    const method = wish.isRepeatable ? 'GET' : 'POST';
-    const path = wish.isRepeatable ? '/balance' : '/postings';
+    const method = options.isRepeatable ? 'GET' : 'POST';
+    const path = options.isRepeatable ? '/balance' : '/postings';
     const headers: Record<string, string> = {};
-    if (wish.key !== undefined) headers['idempotency-key'] = wish.key;
+    if (options.key !== undefined) headers['idempotency-key'] = options.key;
     return {
-      requestId: `${wish.name}-request`,
+      requestId: `${options.name}-request`,
       service: PLAIN_SERVICE,
       account: ACCOUNT,
       method,
       path,
       headers,
-      body: new TextEncoder().encode(wish.body),
-      repeatable: wish.isRepeatable,
-      idempotencyKey: wish.key,
-      fingerprint: createFingerprint(method, path, wish.body),
+      body: new TextEncoder().encode(options.body),
+      repeatable: options.isRepeatable,
+      idempotencyKey: options.key,
+      fingerprint: createFingerprint(method, path, options.body),
       arrivedAtMs: nowMs,
-      deadlineAtMs: nowMs + (wish.waitMs ?? PLAIN_WAIT_MS),
+      deadlineAtMs: nowMs + (options.waitMs ?? PLAIN_WAIT_MS),
     };
   }
 
@@ -308,39 +310,39 @@
       ledgers.set(name, ledger);
       updateLedgers();
     },
-    startModel(wish) {
-      const entry = entries.get(wish.entry)!;
-      const request = createModelRequest(wish);
-      trace(`${wish.name}: asked at ${wish.entry}`);
-      const view = openRequest(
+    startModel(options) {
+      const entry = entries.get(options.entry)!;
+      const request = createModelRequest(options);
+      trace(`${options.name}: asked at ${options.entry}`);
+      const view = startRequest(
         callerHost,
         entry.fence,
-        wish.name,
-        wish.entry,
+        options.name,
+        options.entry,
         request,
         sinks => entry.runner.runModel(request, sinks.model),
       );
-      requests.set(wish.name, view);
+      requests.set(options.name, view);
     },
-    startPlain(wish) {
-      const entry = entries.get(wish.entry)!;
-      const request = createPlainRequest(wish);
-      trace(`${wish.name}: asked at ${wish.entry}`);
-      const view = openRequest(
+    startPlain(options) {
+      const entry = entries.get(options.entry)!;
+      const request = createPlainRequest(options);
+      trace(`${options.name}: asked at ${options.entry}`);
+      const view = startRequest(
         callerHost,
         entry.fence,
-        wish.name,
-        wish.entry,
+        options.name,
+        options.entry,
         request,
         sinks => entry.runner.runPlain(request, sinks.plain),
       );
-      requests.set(wish.name, view);
+      requests.set(options.name, view);
     },
     killEntry(name) {
       const {fence, tag} = entries.get(name)!;
       fence.kill();
-      clock.setTimer(DEATH_NOTICED_MS, () => {
-        goneTags.add(tag);
+      clock.setTimer(DEATH_DETECTION_MS, () => {
+        deadTags.add(tag);
         home.entryGone(tag);
         trace(`${name}: its death is noticed`);
       });
--- a/src/scenario/statement_shape.ts
+++ b/src/scenario/statement_shape.ts
@@ -1,14 +1,14 @@
 /**
- * Shapes of statements, written as patterns such as
+ * Shapes of statements, parsed from patterns such as
  * `model <+request> at <entry> prompt <count> [key <name>] [patient]`: literal
- * words, arguments in angle brackets, options in square ones in any order.
- * `<+kind>` defines a name, `<kind>` uses one that was defined.
+ * words, arguments in angle brackets, and options in square brackets, which
+ * may come in any order. `<+kind>` defines a name, `<kind>` refers to one.
  */
 
 export type ArgumentKind =
   'count' | 'duration' | 'percent' | 'text' | 'name' | 'error' | NodeKind;
 
-/** Things of a scenario that have names. */
+/** Kinds of named objects in a scenario. */
 export type NodeKind = 'entry' | 'engine' | 'ledger' | 'request' | 'node';
 
 export type ShapePart =
@@ -41,7 +41,7 @@
   return {parts, options};
 }
 
-/** The leading literal words, by which a statement is found. */
+/** The literal words at the start of a shape. */
 export function getLeadingWords(shape: StatementShape): readonly string[] {
   const words: string[] = [];
   for (const part of shape.parts) {
--- a/tests/scenario/scenario_parser_test.ts
+++ b/tests/scenario/scenario_parser_test.ts
@@ -7,7 +7,7 @@
 import {parseScenario} from '../../src/scenario/scenario_parser.js';
 import {runScenario} from '../../src/scenario/scenario_runner.js';
 import {
-  GUARD_WORD,
+  GUARD_KEYWORD,
   statementDefinitions,
 } from '../../src/scenario/scenario_statements.js';
 import {assertBaseline, sourceRoot} from '../support/baseline.js';
@@ -30,7 +30,7 @@
   });
 }
 
-test('no text crashes the parser; each mistake has a number and a place', () => {
+test('no text crashes the parser; each diagnostic has a number and a position', () => {
   const {text} = readCase('scenarios', 'posting_twice.scenario');
   const words = text.split(/\s+/);
   const word = fc.oneof(
@@ -45,7 +45,7 @@
       const {diagnostics} = parseScenario(
         {file: 'x.scenario', text: body},
         statementDefinitions,
-        GUARD_WORD,
+        GUARD_KEYWORD,
       );
       for (const line of diagnostics.map(formatDiagnostic)) {
         assert.match(line, /^x\.scenario\(\d+,\d+\): error CB4\d{3}: /);
