--- a/src/adapters/http_plain_service.ts
+++ b/src/adapters/http_plain_service.ts
@@ -101,7 +101,9 @@
   const idle: ProvenConnection[] = [];
 
   /** Takes the idle connection that answered last, if that was recent. */
-  function takeProven(withinMs: number): ProvenConnection | undefined {
+  function takeRecentlyAnswering(
+    withinMs: number,
+  ): ProvenConnection | undefined {
     for (let found = idle.pop(); found; found = idle.pop()) {
       const isRecent = host.clock.nowMs() - found.aliveAtMs <= withinMs;
       if (isRecent && !found.client.closed && !found.client.destroyed) {
@@ -136,7 +138,7 @@
     call: PlainCall,
     signal: AbortSignal,
   ): Promise<PlainAnswer | PlainFailure> {
-    const proven = takeProven(call.connectionProvenWithinMs);
+    const proven = takeRecentlyAnswering(call.connectionProvenWithinMs);
     const connection = proven ?? openConnection();
     let connections = proven ? 1 : 0;
     const countConnection = () => connections++;
--- a/src/adapters/line_logger.ts
+++ b/src/adapters/line_logger.ts
@@ -42,11 +42,11 @@
 const MAX_BUFFERED_LINES = 400;
 const MS_PER_SECOND = 1_000;
 
-interface LineBudget {
+interface LineRateLimiter {
   tryTake(nowMs: number): boolean;
 }
 
-function createLineBudget(linesPerS: number): LineBudget {
+function createLineRateLimiter(linesPerS: number): LineRateLimiter {
   const most = linesPerS * BURST_S;
   let left = most;
   let lastMs: number | undefined;
@@ -68,8 +68,8 @@
   options: LineLoggerOptions,
 ): (part: string) => Logger {
   const {clock, sink} = host;
-  const ordinary = createLineBudget(ORDINARY_LINES_PER_S);
-  const urgent = createLineBudget(URGENT_LINES_PER_S);
+  const ordinary = createLineRateLimiter(ORDINARY_LINES_PER_S);
+  const urgent = createLineRateLimiter(URGENT_LINES_PER_S);
   let buffered: string[] = [];
   let isSinkFull = false;
   let droppedCount = 0;
@@ -103,8 +103,8 @@
     sentence: string,
     fields: LogFields | undefined,
   ): void {
-    const budget = SEVERITY[level] <= SEVERITY.warn ? urgent : ordinary;
-    if (!budget.tryTake(clock.nowMs())) return countDropped();
+    const rateLimiter = SEVERITY[level] <= SEVERITY.warn ? urgent : ordinary;
+    if (!rateLimiter.tryTake(clock.nowMs())) return countDropped();
     const line = {
       time: new Date(clock.wallMs()).toISOString(),
       steadyMs: Math.round(clock.nowMs()),
--- a/tests/adapters/consola_logger_test.ts
+++ b/tests/adapters/consola_logger_test.ts
@@ -27,14 +27,14 @@
   return lines;
 }
 
-test('text lines carry the prefix of their part and no secret', () => {
+test('text lines have the part as prefix and no secrets', () => {
   assert.deepEqual(writeLines('text'), [
     '1970-01-01T00:00:00.000Z debug [journal] Intent is durable. requestId=r1 intents=3\n',
     '1970-01-01T00:00:00.000Z info  [home] Broken in two. peerKey="[hidden]" detail="two words"\n',
   ]);
 });
 
-test('JSON lines carry the same', () => {
+test('JSON lines have the same contents', () => {
   const parsed: unknown[] = writeLines('json').map(line => JSON.parse(line));
   assert.deepEqual(parsed, [
     {
@@ -56,6 +56,6 @@
   ]);
 });
 
-test('an unknown level is named', () => {
+test('an unknown level is reported', () => {
   assert.match(String(parseLogLevels('journal=loud')), /'loud'/);
 });
--- a/tests/adapters/line_logger_test.ts
+++ b/tests/adapters/line_logger_test.ts
@@ -72,12 +72,12 @@
   assert.ok(dropped() > 0);
   drain();
   log.info('Going on.');
-  const told = lines.map(
+  const droppedCounts = lines.map(
     text => (JSON.parse(text) as {linesLeftOut?: number}).linesLeftOut ?? 0,
   );
   assert.match(lines.at(-1) ?? '', /Going on/);
   assert.equal(
-    told.reduce((sum, count) => sum + count, 0),
+    droppedCounts.reduce((sum, count) => sum + count, 0),
     dropped(),
     'every dropped line is counted in a written one',
   );
--- a/tests/platform/relay_accounts_test.ts
+++ b/tests/platform/relay_accounts_test.ts
@@ -49,12 +49,12 @@
   // Guards against keys that leak to upstreams, and against a caller that
   // sends the name of another account.
   const ledger = await site.addUpstream({id: 'i-1', service: 'ledger'});
-  const reader = await site.addUpstream({
+  const prefillEngine = await site.addUpstream({
     id: 'i-2',
     service: 'drafts',
     role: 'prefill',
   });
-  const writer = await site.addUpstream({
+  const decodeEngine = await site.addUpstream({
     id: 'i-3',
     service: 'drafts',
     role: 'decode',
@@ -72,7 +72,7 @@
     ...withKey(KEY, PROMPT_HEADERS),
   });
   assert.equal(stream.status, 200);
-  const runs = [...ledger.runs, ...reader.runs, ...writer.runs];
+  const runs = [...ledger.runs, ...prefillEngine.runs, ...decodeEngine.runs];
   assert.equal(runs.length, 3);
   for (const {headers} of runs) {
     assert.equal(headers['x-tenant'], 'rmtp');
@@ -183,7 +183,7 @@
 test('a request that waits while its key is withdrawn does not run', async () => {
   // Guards against checking the key only when a request arrives.
   await site.addUpstream({id: 'i-2', service: 'drafts', role: 'prefill'});
-  const writer = await site.addUpstream({
+  const decodeEngine = await site.addUpstream({
     id: 'i-3',
     service: 'drafts',
     role: 'decode',
@@ -206,7 +206,7 @@
       ...withKey(key, {...PROMPT_HEADERS, 'X-Token-Count': '20000,200'}),
     });
   const first = draft(OTHER_KEY);
-  await until('the engine is taken', () => writer.runs.length === 1);
+  await until('the engine is taken', () => decodeEngine.runs.length === 1);
   const second = draft(KEY);
   await until('the second waits', async () => {
     const page = await site.ask(entry.settings.metricsAddress, '/metrics');
@@ -215,7 +215,7 @@
   configure([tenant('sgky', [OTHER_KEY])]);
   assert.equal((await first).status, 200);
   assert.equal((await second).status, 401);
-  assert.equal(writer.runs.length, 1);
+  assert.equal(decodeEngine.runs.length, 1);
 });
 
 test('a request that no upstream ran is not charged to its account', async () => {
--- a/tests/platform/relay_path_test.ts
+++ b/tests/platform/relay_path_test.ts
@@ -393,7 +393,7 @@
 test('a prefill result that no decode engine accepts is released', async () => {
   // Guards against a prefill result that occupies memory after every decode
   // engine has refused the request.
-  const reader = await site.addUpstream({
+  const prefillEngine = await site.addUpstream({
     id: 'p-1',
     service: 'drafts',
     role: 'prefill',
@@ -407,6 +407,6 @@
   const entry = await startEntry();
   const answer = await site.call(entry, '/mustand/1', draft);
   assert.equal(answer.status, 503);
-  assert.ok(reader.runs.length > 0);
-  await until('freed', () => reader.heldResults() === 0);
+  assert.ok(prefillEngine.runs.length > 0);
+  await until('freed', () => prefillEngine.heldResults() === 0);
 });
--- a/tests/platform/relay_promises_test.ts
+++ b/tests/platform/relay_promises_test.ts
@@ -37,11 +37,11 @@
 }
 
 interface Engines {
-  readonly reader: EngineStandIn;
+  readonly prefillEngine: EngineStandIn;
   readonly decoders: readonly EngineStandIn[];
 }
 
-const addReader = () =>
+const addPrefillEngine = () =>
   site.addUpstream({id: 'p-1', service: 'drafts', role: 'prefill'});
 
 const addDecoders = (ids: readonly string[], more = {}) =>
@@ -54,7 +54,7 @@
 test("engines get the caller's description of the prompt but none of its system headers", async () => {
   // Guards against forwarding headers that only the relay may set: an engine
   // would use another caller's KV cache or reserve memory without need.
-  const reader = await addReader();
+  const prefillEngine = await addPrefillEngine();
   const [decode] = await addDecoders(['d-1']);
   const entry = await startEntry();
   const forged = {
@@ -71,7 +71,7 @@
   const headers = {...PROMPT_HEADERS, ...forged};
   const answer = await site.call(entry, '/mustand/1', {...post, headers});
   assert.equal(answer.status, 200);
-  for (const run of [reader.runs[0], decode.runs[0]]) {
+  for (const run of [prefillEngine.runs[0], decode.runs[0]]) {
     for (const [name, value] of Object.entries(PROMPT_HEADERS)) {
       assert.equal(run.headers[name.toLowerCase()], value, name);
     }
@@ -84,7 +84,7 @@
 test('concurrent streams are decoded from their own prefill results', async () => {
   // Guards against an answer made from the prefill result of another request
   // that ran at the same time.
-  const reader = await addReader();
+  const prefillEngine = await addPrefillEngine();
   const [decode] = await addDecoders(['d-1']);
   const entry = await startEntry();
   const answers = await Promise.all(
@@ -93,10 +93,10 @@
   for (const answer of answers) assert.equal(answer.status, 200);
   assert.equal(decode.runs.length, 8);
   for (const run of decode.runs) {
-    const index = reader.runs.findIndex(
+    const index = prefillEngine.runs.findIndex(
       each => each.requestId === run.requestId,
     );
-    const source = `${reader.address}/h${index + 1}`;
+    const source = `${prefillEngine.address}/h${index + 1}`;
     assert.equal(run.headers['x-kv-source'], source);
   }
 });
@@ -104,7 +104,7 @@
 test('a stalled run is cancelled when its stream resumes on another engine', async () => {
   // Guards against two engines that generate the same answer: the first one
   // stalled and was not cancelled when the stream resumed on the second.
-  await addReader();
+  await addPrefillEngine();
   const engines = await addDecoders(['d-1', 'd-2'], {eventCount: 8});
   const entry = await startEntry();
   for (const engine of engines) engine.stallAfterEvents(3);
@@ -122,7 +122,7 @@
 });
 
 test('a stream makes no more attempts than its route allows', async () => {
-  await addReader();
+  await addPrefillEngine();
   const engines = await addDecoders(['d-1', 'd-2', 'd-3']);
   const entry = await startEntry();
   for (const engine of engines) engine.crashAfterEvents(1);
@@ -178,7 +178,7 @@
 });
 
 test('a configuration change does not interrupt running requests', async () => {
-  await addReader();
+  await addPrefillEngine();
   await addDecoders(['d-1'], {eventCount: 30, eventEveryMs: 30});
   const entry = await startEntry();
   const running = site.call(entry, '/mustand/1', draft);
@@ -254,8 +254,8 @@
 for (const [failure, prepare] of [
   [
     'prefill engines refuse',
-    ({reader}) => {
-      reader.setBehaviour('full');
+    ({prefillEngine}) => {
+      prefillEngine.setBehaviour('full');
     },
   ],
   [
@@ -270,19 +270,21 @@
     // that runs a prompt which a prefill engine refused, and the repeated
     // prefill of a resumed stream. A failing service then got 99 extra calls
     // in 10 s for 170 requests, where 92 are allowed.
-    const reader = await addReader();
+    const prefillEngine = await addPrefillEngine();
     const decoders = await addDecoders(['d-1', 'd-2', 'd-3']);
     site.configure(makeConfiguration());
     const entry = await site.addEntry(ALLOWANCE);
     await untilReady(site, entry);
-    prepare({reader, decoders});
+    prepare({prefillEngine, decoders});
     const count = 12;
     for (let i = 0; i < count; i++) {
       await site.call(entry, '/lisa/1', draft).catch(() => undefined);
     }
-    const engines = [reader, ...decoders];
+    const engines = [prefillEngine, ...decoders];
     // The first prefill that an engine accepts for a request isn't counted.
-    const firstPrefills = new Set(reader.runs.map(each => each.requestId)).size;
+    const firstPrefills = new Set(
+      prefillEngine.runs.map(each => each.requestId),
+    ).size;
     const calls = engines.reduce(
       (sum, each) => sum + each.runs.length + each.refusalCount(),
       0,
--- a/tests/platform/relay_site.ts
+++ b/tests/platform/relay_site.ts
@@ -56,7 +56,7 @@
 }
 
 let nextRequest = 1;
-const CALL_EVERY_MS = 25;
+const CALL_INTERVAL_MS = 25;
 
 function exchange(
   address: string,
@@ -196,7 +196,7 @@
   const running: Array<Promise<SiteAnswer>> = [];
   for (let i = 0; performance.now() < endAtMs; i++) {
     running.push(site.call(entries[i % entries.length], path, options));
-    await wait(CALL_EVERY_MS);
+    await wait(CALL_INTERVAL_MS);
   }
   return Promise.all(running);
 }
--- a/tests/platform/store_older_copy_test.ts
+++ b/tests/platform/store_older_copy_test.ts
@@ -15,7 +15,7 @@
 
 /** Limit on new work after the store lists an upstream as draining. */
 const DRAIN_MS = 2_000;
-const PLAY_MS = 4_000;
+const CALLING_MS = 4_000;
 /** Lost writes; enough to set the store's version counter far back. */
 const LOST_WRITES = 12;
 
@@ -57,7 +57,7 @@
   leaving: EngineStandIn,
 ): Promise<number> {
   const leftAtMs = performance.now();
-  const answers = await callFor(site, entries, PLAY_MS, '/saldo/1');
+  const answers = await callFor(site, entries, CALLING_MS, '/saldo/1');
   assert.ok(answers.every(({status}) => status === 200));
   const late = leaving.arrivals.filter(({atMs}) => atMs > leftAtMs + DRAIN_MS);
   return late.length;
--- a/tests/platform/upstream_leaving_test.ts
+++ b/tests/platform/upstream_leaving_test.ts
@@ -16,7 +16,7 @@
 
 /** Limit on new work from a host that received the announcement. */
 const DRAIN_MS = 2_000;
-const PLAY_MS = 4_000;
+const CALLING_MS = 4_000;
 const STREAM_MS = 100;
 
 let site: Site;
@@ -49,12 +49,12 @@
   site.store.setMode('busy');
   for (const each of leaving) each.setLeaving();
   const fromMs = performance.now();
-  const answers = await callFor(site, [entry], PLAY_MS, path, options);
+  const answers = await callFor(site, [entry], CALLING_MS, path, options);
   assert.ok(answers.every(({status}) => status === 200));
   return leaving.map(({arrivals}) => {
-    const toldAtMs = arrivals.find(({atMs}) => atMs >= fromMs)?.atMs;
-    assert.ok(toldAtMs !== undefined);
-    const boundMs = toldAtMs + STREAM_MS + DRAIN_MS;
+    const announcedAtMs = arrivals.find(({atMs}) => atMs >= fromMs)?.atMs;
+    assert.ok(announcedAtMs !== undefined);
+    const boundMs = announcedAtMs + STREAM_MS + DRAIN_MS;
     return arrivals.filter(({atMs}) => atMs > boundMs).length;
   });
 }
@@ -100,6 +100,6 @@
   await callFor(site, [entry], 1_500, '/saldo/1');
   site.list(leaving);
   const count = leaving.arrivals.length;
-  await callFor(site, [entry], PLAY_MS, '/saldo/1');
+  await callFor(site, [entry], CALLING_MS, '/saldo/1');
   assert.equal(leaving.arrivals.length, count);
 });
--- a/tests/platform/upstream_limit_test.ts
+++ b/tests/platform/upstream_limit_test.ts
@@ -18,9 +18,9 @@
 const WINDOW_MS = 4_000;
 const LIMIT_PER_S = 2;
 /** Maximum of requests from all hosts to an upstream in a window. */
-const MOST_IN_WINDOW = 1.5 * LIMIT_PER_S * (WINDOW_MS / 1_000) + 5;
+const MAX_IN_WINDOW = 1.5 * LIMIT_PER_S * (WINDOW_MS / 1_000) + 5;
 /** Time for a host to apply a limit after it received the answer. */
-const TOLD_MS = 500;
+const REACTION_MS = 500;
 const FEW_HOSTS = 3;
 /** Too many for a full mesh: some coordinate, place and assign slots. */
 const MANY_HOSTS = 18;
@@ -45,17 +45,17 @@
 }
 
 /** Makes each host receive an answer of each upstream. */
-async function tellAll(
+async function announceLimits(
   upstreams: readonly EngineStandIn[],
   path: string,
   options: RequestOptions,
 ): Promise<void> {
   await callFor(site, entries, 1_000, path, options);
   for (const upstream of upstreams) assert.ok(upstream.arrivals.length > 0);
-  await wait(TOLD_MS);
+  await wait(REACTION_MS);
 }
 
-function mostInWindow({arrivals}: EngineStandIn, sinceMs: number): number {
+function countMostInWindow({arrivals}: EngineStandIn, sinceMs: number): number {
   const times = arrivals
     .map(({atMs}) => atMs)
     .filter(atMs => atMs >= sinceMs)
@@ -79,11 +79,11 @@
   const other = await site.addUpstream({id: 'i-2', service: 'ledger'});
   limited.setLimit(LIMIT_PER_S);
   await startEntries();
-  await tellAll([limited, other], '/makse/1', post);
+  await announceLimits([limited, other], '/makse/1', post);
   const sinceMs = performance.now();
   const answers = await callFor(site, entries, 6_000, '/makse/1', post);
-  const most = mostInWindow(limited, sinceMs);
-  assert.ok(most <= MOST_IN_WINDOW, `${most} in a window`);
+  const most = countMostInWindow(limited, sinceMs);
+  assert.ok(most <= MAX_IN_WINDOW, `${most} in a window`);
   // The other upstream has room for all of them.
   assert.ok(answers.every(({status}) => status === 200));
 });
@@ -100,12 +100,12 @@
   ]);
   for (const engine of engines) engine.setLimit(LIMIT_PER_S);
   await startEntries();
-  await tellAll([...engines, ...others], '/lisa/1', draft);
+  await announceLimits([...engines, ...others], '/lisa/1', draft);
   const sinceMs = performance.now();
   await callFor(site, entries, 6_000, '/lisa/1', draft);
   for (const engine of engines) {
-    const most = mostInWindow(engine, sinceMs);
-    assert.ok(most <= MOST_IN_WINDOW, `${most} at ${engine.id} in a window`);
+    const most = countMostInWindow(engine, sinceMs);
+    assert.ok(most <= MAX_IN_WINDOW, `${most} at ${engine.id} in a window`);
   }
 });
 
@@ -116,11 +116,11 @@
   limited.setLimit(LIMIT_PER_S);
   limited.setBehaviour('full');
   await startEntries();
-  await tellAll([limited], '/saldo/1', {});
+  await announceLimits([limited], '/saldo/1', {});
   const sinceMs = performance.now();
   await callFor(site, entries, 6_000, '/saldo/1', {});
-  const most = mostInWindow(limited, sinceMs);
-  assert.ok(most <= MOST_IN_WINDOW, `${most} in a window`);
+  const most = countMostInWindow(limited, sinceMs);
+  assert.ok(most <= MAX_IN_WINDOW, `${most} in a window`);
 });
 
 test('many hosts, few of which coordinate, keep to a limit', async () => {
@@ -129,11 +129,11 @@
   await site.addUpstream({id: 'i-2', service: 'ledger'});
   limited.setLimit(LIMIT_PER_S);
   await startEntries(MANY_HOSTS);
-  await tellAll([limited], '/makse/1', post);
+  await announceLimits([limited], '/makse/1', post);
   const sinceMs = performance.now();
   const answers = await callFor(site, entries, 5_000, '/makse/1', post);
-  const most = mostInWindow(limited, sinceMs);
-  assert.ok(most <= MOST_IN_WINDOW, `${most} in a window`);
+  const most = countMostInWindow(limited, sinceMs);
+  assert.ok(most <= MAX_IN_WINDOW, `${most} in a window`);
   assert.ok(most >= LIMIT_PER_S, `${most} in a window`);
   assert.ok(answers.every(({status}) => status === 200));
 });
@@ -146,12 +146,12 @@
   ]);
   for (const each of upstreams) each.setLimit(LIMIT_PER_S);
   await startEntries();
-  await tellAll(upstreams, '/makse/1', post);
+  await announceLimits(upstreams, '/makse/1', post);
   const sinceMs = performance.now();
   const answers = await callFor(site, entries, 5_000, '/makse/1', post);
   for (const each of upstreams) {
-    const most = mostInWindow(each, sinceMs);
-    assert.ok(most <= MOST_IN_WINDOW, `${most} at ${each.id} in a window`);
+    const most = countMostInWindow(each, sinceMs);
+    assert.ok(most <= MAX_IN_WINDOW, `${most} at ${each.id} in a window`);
     assert.ok(most >= LIMIT_PER_S, `${most} at ${each.id} in a window`);
   }
   const refused = answers.filter(({status}) => status !== 200);
@@ -171,7 +171,7 @@
   upstreams[0].setLimit(3);
   upstreams[1].setLimit(0.7);
   await startEntries();
-  await tellAll(upstreams, '/saldo/1', {});
+  await announceLimits(upstreams, '/saldo/1', {});
   const answers = await callFor(site, entries, 8_000, '/saldo/1');
   const failed = answers.filter(({status}) => status !== 200 && status !== 503);
   assert.deepEqual(failed, []);
--- a/tests/platform/upstream_rest_test.ts
+++ b/tests/platform/upstream_rest_test.ts
@@ -15,12 +15,12 @@
   type SiteAnswer,
 } from './relay_site.js';
 
-const REST_S = 3;
-const PLAY_MS = 6_000;
+const RETRY_AFTER_S = 3;
+const CALLING_MS = 6_000;
 /** Time for a host to act on the answer. */
-const TOLD_MS = 500;
+const REACTION_MS = 500;
 /** Requests that the host may still send during the `Retry-After` period. */
-const MOST_IN_REST = 2;
+const MAX_IN_PERIOD = 2;
 
 let site: Site;
 let entry: Entry;
@@ -41,53 +41,53 @@
 const draft = {...post, headers: PROMPT_HEADERS};
 
 /** Each request is refused and starts a new `Retry-After` period. */
-function mostInRest({arrivals}: EngineStandIn): number {
+function countMostInPeriod({arrivals}: EngineStandIn): number {
   return Math.max(
     ...arrivals.map(({atMs}) => {
-      const fromMs = atMs + TOLD_MS;
-      const toMs = atMs + REST_S * 1_000;
+      const fromMs = atMs + REACTION_MS;
+      const toMs = atMs + RETRY_AFTER_S * 1_000;
       return arrivals.filter(each => each.atMs > fromMs && each.atMs < toMs)
         .length;
     }),
   );
 }
 
-async function restThrough(
-  resting: readonly EngineStandIn[],
+async function callWhileRefused(
+  refusing: readonly EngineStandIn[],
   path: string,
   options: RequestOptions = {},
 ): Promise<readonly SiteAnswer[]> {
-  for (const each of resting) {
+  for (const each of refusing) {
     each.setBehaviour('full');
-    each.setRest(REST_S);
+    each.setRest(RETRY_AFTER_S);
   }
-  const answers = await callFor(site, [entry], PLAY_MS, path, options);
-  for (const each of resting) {
-    const most = mostInRest(each);
-    assert.ok(most <= MOST_IN_REST, `${most} at ${each.id} while it rests`);
+  const answers = await callFor(site, [entry], CALLING_MS, path, options);
+  for (const each of refusing) {
+    const most = countMostInPeriod(each);
+    assert.ok(most <= MAX_IN_PERIOD, `${most} at ${each.id} in a period`);
   }
   return answers;
 }
 
 test('`Retry-After` of a service is respected, and another serves its calls', async () => {
   // Guards against preferring an upstream because it refuses calls quickly.
-  const resting = await site.addUpstream({id: 'i-1', service: 'ledger'});
+  const refusing = await site.addUpstream({id: 'i-1', service: 'ledger'});
   await site.addUpstream({id: 'i-2', service: 'ledger'});
   await startEntry();
-  const answers = await restThrough([resting], '/makse/1', post);
+  const answers = await callWhileRefused([refusing], '/makse/1', post);
   assert.ok(answers.every(({status}) => status === 200));
 });
 
 test('`Retry-After` of engines is respected', async () => {
   // Guards against applying it to plain services only.
-  const resting = await Promise.all([
+  const refusing = await Promise.all([
     site.addUpstream({id: 'p-1', service: 'drafts', role: 'prefill'}),
     site.addUpstream({id: 'd-1', service: 'drafts', role: 'decode'}),
   ]);
   await site.addUpstream({id: 'p-2', service: 'drafts', role: 'prefill'});
   await site.addUpstream({id: 'd-2', service: 'drafts', role: 'decode'});
   await startEntry();
-  await restThrough(resting, '/lisa/1', draft);
+  await callWhileRefused(refusing, '/lisa/1', draft);
 });
 
 test('callers are refused at once while no upstream may be called', async () => {
@@ -98,10 +98,10 @@
     site.addUpstream({id: 'i-2', service: 'ledger'}),
   ]);
   await startEntry();
-  const answers = await restThrough(upstreams, '/makse/1', post);
+  const answers = await callWhileRefused(upstreams, '/makse/1', post);
   for (const {status, headers} of answers) {
     assert.equal(status, 503);
     const seconds = Number(headers['retry-after']);
-    assert.ok(seconds > 0 && seconds <= 2 * REST_S, `${seconds}`);
+    assert.ok(seconds > 0 && seconds <= 2 * RETRY_AFTER_S, `${seconds}`);
   }
 });
