--- a/src/adapters/metrics.ts
+++ b/src/adapters/metrics.ts
@@ -29,7 +29,7 @@
   recordPrefillWasted(labels: RequestLabels, promptTokenCount: number): void;
   recordPrefill(labels: RequestLabels): void;
   recordRefusal(labels: RequestLabels, kind: ErrorKind): void;
-  /** Counts a frame of an answer that was dropped. */
+  /** Counts a late, misdirected or repeated frame that was dropped. */
   recordFrameDropped(reason: FrameDropReason): void;
   recordResume(labels: RequestLabels): void;
   recordRetry(service: string, decision: RetryDecision): void;
--- a/src/adapters/peer_grants.ts
+++ b/src/adapters/peer_grants.ts
@@ -210,7 +210,7 @@
         isDecoding,
         tokensDelivered,
       };
-      // If the call is lost, the new home adopts the grant at the next `renew`.
+      // If the call is lost, the new home learns of the grant by its `renew`.
       client
         .adoptGrants(
           {shardId, grants: [message]},
--- a/tests/platform/upstream_limit_test.ts
+++ b/tests/platform/upstream_limit_test.ts
@@ -163,7 +163,7 @@
 });
 
 test('a call that was delayed by a limit gets the answer', async () => {
-  // Guards against calls that are sent when their time is over.
+  // Guards against calls that are sent and cancelled at the same moment.
   const upstreams = await Promise.all([
     site.addUpstream({id: 'i-1', service: 'ledger'}),
     site.addUpstream({id: 'i-2', service: 'ledger'}),
