--- a/src/adapters/metered_table.ts
+++ b/src/adapters/metered_table.ts
@@ -1,9 +1,12 @@
-/** Counts calls to the platform's table by how they end. */
+/** Counts calls to the platform's table by outcome. */
 
 import type {TablePort} from '../ports/table.js';
 import type {Metrics} from './metrics.js';
 
-export function meterTable(metrics: Metrics, table: TablePort): TablePort {
+export function createMeteredTable(
+  metrics: Metrics,
+  table: TablePort,
+): TablePort {
   return {
     async read(keys, timeoutMs) {
       const outcome = await table.read(keys, timeoutMs);
--- a/src/request/single_run_task.ts
+++ b/src/request/single_run_task.ts
@@ -123,7 +123,7 @@
       .catch(() => false);
     if (isDurable || tries >= MAX_END_TRIES) {
       if (!isDurable) {
-        host.log.warn('Could not record the end of a call in the journal.', {
+        host.log.warn('The end of a call could not be recorded.', {
           requestId: request.requestId,
           end: end.kind,
         });
--- a/src/serve/metered_requests.ts
+++ b/src/serve/metered_requests.ts
@@ -26,7 +26,7 @@
     onFrameDropped: (_service, reason) => metrics.recordFrameDropped(reason),
     onRetry: service => metrics.recordRetry(service, 'made'),
     onRetryDenied: (service, reason) => metrics.recordRetry(service, reason),
-    onUpstreamLost: service => metrics.recordUpstreamBlamed(service),
+    onUpstreamLost: service => metrics.recordUpstreamFailure(service),
   };
 }
 
--- a/src/serve/peer_server.ts
+++ b/src/serve/peer_server.ts
@@ -17,7 +17,7 @@
 } from '@connectrpc/connect';
 import {connectNodeAdapter} from '@connectrpc/connect-node';
 import {listenOn} from '../adapters/listen.js';
-import {isKeyShown} from '../adapters/peer_connection.js';
+import {hasValidKey} from '../adapters/peer_connection.js';
 import {Operator} from '../generated/corianderbend/peer_pb.js';
 
 export interface PeerServerKeys {
@@ -37,7 +37,7 @@
   return next => async request => {
     const isOperator = request.service.typeName === Operator.typeName;
     const key = isOperator ? keys.operatorKey : keys.peerKey;
-    if (!isKeyShown(request.header.get('authorization'), key)) {
+    if (!hasValidKey(request.header.get('authorization'), key)) {
       throw new ConnectError(
         'The key is missing or wrong.',
         Code.Unauthenticated,
--- a/src/serve/process_adapters.ts
+++ b/src/serve/process_adapters.ts
@@ -8,7 +8,7 @@
 import {createHttpPlainServiceFactory} from '../adapters/http_plain_service.js';
 import {createHttpTable} from '../adapters/http_table.js';
 import {createMetrics, type Metrics} from '../adapters/metrics.js';
-import {meterTable} from '../adapters/metered_table.js';
+import {createMeteredTable} from '../adapters/metered_table.js';
 import {createPeerTransports} from '../adapters/peer_connection.js';
 import {createSystemClock} from '../adapters/system_clock.js';
 import {createSystemRandom} from '../adapters/system_random.js';
@@ -60,7 +60,7 @@
     createLogger,
     datagrams,
     metrics,
-    table: meterTable(metrics, createHttpTable({clock}, platform)),
+    table: createMeteredTable(metrics, createHttpTable({clock}, platform)),
     objectStore: createHttpObjectStore({clock}, platform),
     hostList: createHttpHostList({clock}, platform),
     enginePort: cacheByAddress(createHttpEngineFactory({clock, random})),
--- a/src/serve/serve.ts
+++ b/src/serve/serve.ts
@@ -3,7 +3,7 @@
  * them and stops them in order after the drain.
  */
 
-import {isKeyShown} from '../adapters/peer_connection.js';
+import {hasValidKey} from '../adapters/peer_connection.js';
 import {createAccountLimits} from '../core/account_limits.js';
 import {hashPrefixes} from '../core/prompt_tokens.js';
 import type {HostSettings, Settings} from '../core/settings_types.js';
@@ -137,7 +137,7 @@
     getSettings: configuration.getFrontSettings,
     getEntries: directory.answer,
     isOperator: authorization =>
-      isKeyShown(authorization ?? null, host.operatorKey),
+      hasValidKey(authorization ?? null, host.operatorKey),
     isLeaving: drain.isLeaving,
   });
   const peerServer = createPeerServer(host, router =>
--- a/tests/platform/upstream_limit_test.ts
+++ b/tests/platform/upstream_limit_test.ts
@@ -1,4 +1,4 @@
-/** Upstreams that name a limit in their answers, before several hosts. */
+/** Upstreams that announce a rate limit in their answers to several hosts. */
 
 import assert from 'node:assert/strict';
 import {afterEach, beforeEach, test} from 'node:test';
@@ -17,12 +17,12 @@
 
 const WINDOW_MS = 4_000;
 const LIMIT_PER_S = 2;
-/** What all hosts that were told may send an upstream in a window. */
-const MOST_IN_WINDOW = 1.5 * LIMIT_PER_S * (WINDOW_MS / 1_000) + 5;
-/** A host has this long to act on an answer that it passed on. */
-const TOLD_MS = 500;
+/** Maximum of requests from all hosts to an upstream in a window. */
+const MAX_IN_WINDOW = 1.5 * LIMIT_PER_S * (WINDOW_MS / 1_000) + 5;
+/** Time for a host to apply a limit after it received the answer. */
+const REACTION_MS = 500;
 const FEW_HOSTS = 3;
-/** Too many to hear each other all: some coordinate, place and keep slots. */
+/** Too many for a full mesh: some coordinate, place and assign slots. */
 const MANY_HOSTS = 18;
 
 let site: Site;
@@ -44,18 +44,18 @@
   for (const entry of entries) await untilReady(site, entry);
 }
 
-/** Has each host pass on an answer of each upstream. */
-async function tellAll(
+/** Makes each host receive an answer of each upstream. */
+async function announceLimits(
   upstreams: readonly EngineStandIn[],
   path: string,
   options: RequestOptions,
 ): Promise<void> {
   await callFor(site, entries, 1_000, path, options);
   for (const upstream of upstreams) assert.ok(upstream.arrivals.length > 0);
-  await wait(TOLD_MS);
+  await wait(REACTION_MS);
 }
 
-function mostInWindow({arrivals}: EngineStandIn, sinceMs: number): number {
+function countMostInWindow({arrivals}: EngineStandIn, sinceMs: number): number {
   const times = arrivals
     .map(({atMs}) => atMs)
     .filter(atMs => atMs >= sinceMs)
@@ -73,23 +73,23 @@
 const post = {method: 'POST', body: 'rida=1'};
 const draft = {...post, headers: PROMPT_HEADERS};
 
-test('an upstream gets no more calls than the limit that it names to all hosts', async () => {
-  // Guards against hosts that take no notice of the limit, or each of it alone.
+test('all hosts together keep to the limit of an upstream', async () => {
+  // Guards against hosts that ignore the limit or each use the whole of it.
   const limited = await site.addUpstream({id: 'i-1', service: 'ledger'});
   const other = await site.addUpstream({id: 'i-2', service: 'ledger'});
   limited.setLimit(LIMIT_PER_S);
   await startEntries();
-  await tellAll([limited, other], '/makse/1', post);
+  await announceLimits([limited, other], '/makse/1', post);
   const sinceMs = performance.now();
   const answers = await callFor(site, entries, 6_000, '/makse/1', post);
-  const most = mostInWindow(limited, sinceMs);
-  assert.ok(most <= MOST_IN_WINDOW, `${most} in a window`);
+  const most = countMostInWindow(limited, sinceMs);
+  assert.ok(most <= MAX_IN_WINDOW, `${most} in a window`);
   // The other upstream has room for all of them.
   assert.ok(answers.every(({status}) => status === 200));
 });
 
-test('engines get no more streams and prompts than the limits that they name', async () => {
-  // Guards against a limit that holds for calls of plain services only.
+test('streams and prompts keep to the limits of the engines', async () => {
+  // Guards against limits that are applied to plain services only.
   const engines = await Promise.all([
     site.addUpstream({id: 'p-1', service: 'drafts', role: 'prefill'}),
     site.addUpstream({id: 'd-1', service: 'drafts', role: 'decode'}),
@@ -100,58 +100,58 @@
   ]);
   for (const engine of engines) engine.setLimit(LIMIT_PER_S);
   await startEntries();
-  await tellAll([...engines, ...others], '/lisa/1', draft);
+  await announceLimits([...engines, ...others], '/lisa/1', draft);
   const sinceMs = performance.now();
   await callFor(site, entries, 6_000, '/lisa/1', draft);
   for (const engine of engines) {
-    const most = mostInWindow(engine, sinceMs);
-    assert.ok(most <= MOST_IN_WINDOW, `${most} at ${engine.id} in a window`);
+    const most = countMostInWindow(engine, sinceMs);
+    assert.ok(most <= MAX_IN_WINDOW, `${most} at ${engine.id} in a window`);
   }
 });
 
-test('an upstream that refuses with its limit in the refusal is held to it', async () => {
-  // Guards against a limit that is read from answers of success only.
+test('a limit in a refusal is applied', async () => {
+  // Guards against reading the header from successful answers only.
   const limited = await site.addUpstream({id: 'i-1', service: 'ledger'});
   await site.addUpstream({id: 'i-2', service: 'ledger'});
   limited.setLimit(LIMIT_PER_S);
   limited.setBehaviour('full');
   await startEntries();
-  await tellAll([limited], '/saldo/1', {});
+  await announceLimits([limited], '/saldo/1', {});
   const sinceMs = performance.now();
   await callFor(site, entries, 6_000, '/saldo/1', {});
-  const most = mostInWindow(limited, sinceMs);
-  assert.ok(most <= MOST_IN_WINDOW, `${most} in a window`);
+  const most = countMostInWindow(limited, sinceMs);
+  assert.ok(most <= MAX_IN_WINDOW, `${most} in a window`);
 });
 
 test('many hosts, few of which coordinate, keep to a limit', async () => {
-  // Guards against owners that a host which hears few others cannot ask.
+  // Guards against owners of a limit that a host with few peers can't reach.
   const limited = await site.addUpstream({id: 'i-1', service: 'ledger'});
   await site.addUpstream({id: 'i-2', service: 'ledger'});
   limited.setLimit(LIMIT_PER_S);
   await startEntries(MANY_HOSTS);
-  await tellAll([limited], '/makse/1', post);
+  await announceLimits([limited], '/makse/1', post);
   const sinceMs = performance.now();
   const answers = await callFor(site, entries, 5_000, '/makse/1', post);
-  const most = mostInWindow(limited, sinceMs);
-  assert.ok(most <= MOST_IN_WINDOW, `${most} in a window`);
+  const most = countMostInWindow(limited, sinceMs);
+  assert.ok(most <= MAX_IN_WINDOW, `${most} in a window`);
   assert.ok(most >= LIMIT_PER_S, `${most} in a window`);
   assert.ok(answers.every(({status}) => status === 200));
 });
 
-test('when all upstreams name limits, calls beyond them are told when to come back', async () => {
-  // Guards against calls that go past the limit as nobody else is there.
+test('calls beyond the limits of all upstreams are refused with a `Retry-After`', async () => {
+  // Guards against exceeding a limit because no other upstream is available.
   const upstreams = await Promise.all([
     site.addUpstream({id: 'i-1', service: 'ledger'}),
     site.addUpstream({id: 'i-2', service: 'ledger'}),
   ]);
   for (const each of upstreams) each.setLimit(LIMIT_PER_S);
   await startEntries();
-  await tellAll(upstreams, '/makse/1', post);
+  await announceLimits(upstreams, '/makse/1', post);
   const sinceMs = performance.now();
   const answers = await callFor(site, entries, 5_000, '/makse/1', post);
   for (const each of upstreams) {
-    const most = mostInWindow(each, sinceMs);
-    assert.ok(most <= MOST_IN_WINDOW, `${most} at ${each.id} in a window`);
+    const most = countMostInWindow(each, sinceMs);
+    assert.ok(most <= MAX_IN_WINDOW, `${most} at ${each.id} in a window`);
     assert.ok(most >= LIMIT_PER_S, `${most} at ${each.id} in a window`);
   }
   const refused = answers.filter(({status}) => status !== 200);
@@ -162,8 +162,8 @@
   }
 });
 
-test('a call that waited for its place within a limit gets the answer', async () => {
-  // Guards against calls that are sent and cut in the same moment.
+test('a call that was delayed by a limit gets the answer', async () => {
+  // Guards against calls that are sent and cancelled at the same moment.
   const upstreams = await Promise.all([
     site.addUpstream({id: 'i-1', service: 'ledger'}),
     site.addUpstream({id: 'i-2', service: 'ledger'}),
@@ -171,7 +171,7 @@
   upstreams[0].setLimit(3);
   upstreams[1].setLimit(0.7);
   await startEntries();
-  await tellAll(upstreams, '/saldo/1', {});
+  await announceLimits(upstreams, '/saldo/1', {});
   const answers = await callFor(site, entries, 8_000, '/saldo/1');
   const failed = answers.filter(({status}) => status !== 200 && status !== 503);
   assert.deepEqual(failed, []);
