--- a/stand_ins/answer_text.ts
+++ b/stand_ins/answer_text.ts
@@ -1,13 +1,13 @@
 /**
- * What a stand-in engine answers: a pure function of the prompt and the
- * offset, so that a reader can check a resumed stream token by token.
+ * Answers of a stand-in engine. Each token is a pure function of the prompt and
+ * the offset, so that a reader can check a resumed stream token by token.
  */
 
 import {FNV_OFFSET, FNV_PRIME} from '../src/core/hash_text.js';
 
 /** The answer to one prompt. */
 export interface ExpectedAnswer {
-  /** How many tokens the engine gives when it is not limited. */
+  /** Number of tokens that the engine generates without a limit. */
   readonly naturalTokenCount: number;
   textAt(offset: number): string;
 }
@@ -23,12 +23,12 @@
   return mixed >>> 0;
 }
 
-/** One number for the whole prompt. */
+/** Hashes all tokens of a prompt into one number. */
 export function hashPrompt(tokens: readonly number[]): number {
   return tokens.reduce(mixHash, FNV_OFFSET);
 }
 
-/** The natural length lies between half and one and a half of the mean. */
+/** The natural length lies between 0.5 and 1.5 times the mean. */
 export function expectAnswer(
   promptTokens: readonly number[],
   meanTokenCount: number,
@@ -36,7 +36,9 @@
   return expectAnswerByHash(hashPrompt(promptTokens), meanTokenCount);
 }
 
-/** As `expectAnswer`, from the hash that travels with exported KV. */
+/**
+ * Like `expectAnswer`, from the prompt hash that is exported with the KV cache.
+ */
 export function expectAnswerByHash(
   promptHash: number,
   meanTokenCount: number,
--- a/stand_ins/command.ts
+++ b/stand_ins/command.ts
@@ -1,4 +1,4 @@
-/** `corianderbend stand-in platform|engine|service`. */
+/** Command line of `corianderbend stand-in platform|engine|service`. */
 
 import {parseArgs, type ParseArgsConfig} from 'node:util';
 import {createSystemClock} from '../src/adapters/system_clock.js';
@@ -18,7 +18,7 @@
 export type StandInKind = 'platform' | 'engine' | 'service';
 
 const GIBIBYTE = 1024 ** 3;
-/** As a shell shows a process that was killed. */
+/** Exit code that a shell reports for a process killed by SIGKILL. */
 const CRASH_EXIT_CODE = 137;
 
 type Flags = Readonly<Record<string, string | boolean | undefined>>;
@@ -63,7 +63,7 @@
   'crash-on': {type: 'string'},
 } as const satisfies ParseArgsConfig['options'];
 
-/** A flag that is not one of the stand-in's, or has a value it cannot take. */
+/** An unknown flag, or a flag with an invalid value. */
 export class StandInUsageError extends Error {
   override readonly name = 'StandInUsageError';
 }
@@ -100,14 +100,14 @@
   );
 }
 
-/** The marker counts as a word at the start of a prompt and inside it. */
+/** Tokens of the marker, both at the start of a prompt and after a space. */
 function markerTokens(marker: string): readonly number[] {
   if (!marker) return [];
   return [...tokenizePrompt(marker), ...tokenizePrompt(` ${marker}`)];
 }
 
-/** Tells the stand-in platform of this upstream, as a machine room would. */
-async function enlist(
+/** Adds this upstream to the stand-in platform's list of hosts. */
+async function registerHost(
   flags: Flags,
   role: ListedHost['role'],
   hostId: string,
@@ -129,7 +129,7 @@
   });
 }
 
-function dieOnCrash(gate: {
+function exitOnCrash(gate: {
   onBreak(handler: (what: string) => void): void;
 }): void {
   gate.onBreak(what => {
@@ -153,12 +153,12 @@
     ),
     hostListLagMs: numberOf(flags, 'host-list-lag-ms', defaults.hostListLagMs),
   });
-  dieOnCrash(core.gate);
+  exitOnCrash(core.gate);
   const address = textOf(flags, 'address', '');
   return (await createPlatformServer(core, address)).address;
 }
 
-/** Several engines in one process listen on ports that follow each other. */
+/** Several engines in one process listen on consecutive ports. */
 async function startEngines(args: readonly string[]): Promise<string> {
   const flags = parse(args, engineFlags);
   const first = textOf(flags, 'address', '');
@@ -189,10 +189,10 @@
     {...createHost(), kvSource: createHttpKvSource},
     {engineId, ...engineOptionsOf(flags)},
   );
-  dieOnCrash(core.gate);
-  const front = await createEngineServer(core, address);
-  await enlist(flags, 'engine', engineId, front.address);
-  return front.address;
+  exitOnCrash(core.gate);
+  const server = await createEngineServer(core, address);
+  await registerHost(flags, 'engine', engineId, server.address);
+  return server.address;
 }
 
 function engineOptionsOf(flags: Flags): Partial<EngineOptions> {
@@ -231,10 +231,10 @@
     runMs: numberOf(flags, 'run-ms', defaultServiceOptions.runMs),
     crashOnTexts: marker ? [marker] : [],
   });
-  dieOnCrash(core.gate);
-  const front = await createServiceServer(core, address);
-  await enlist(flags, 'plain-service', serviceId, front.address);
-  return front.address;
+  exitOnCrash(core.gate);
+  const server = await createServiceServer(core, address);
+  await registerHost(flags, 'plain-service', serviceId, server.address);
+  return server.address;
 }
 
 function createHost() {
--- a/stand_ins/decode_batch.ts
+++ b/stand_ins/decode_batch.ts
@@ -1,6 +1,6 @@
 /**
- * Decode half of a stand-in engine: continuous batching in steps. In one step
- * each running sequence advances by one token.
+ * Decode stage of a stand-in engine: continuous batching, where each running
+ * sequence advances by one token a step.
  */
 
 import type {Clock} from '../src/ports/clock.js';
@@ -15,7 +15,7 @@
 } from '../src/ports/engine.js';
 import type {Random} from '../src/ports/random.js';
 import {expectAnswerByHash, type ExpectedAnswer} from './answer_text.js';
-import type {RunningBooks} from './engine_books.js';
+import type {EngineCounters} from './engine_counters.js';
 import {
   failure,
   isSameOwner,
@@ -26,11 +26,11 @@
 export interface DecodeHost {
   readonly clock: Clock;
   readonly random: Random;
-  readonly books: RunningBooks;
+  readonly counters: EngineCounters;
   whenThawed(action: () => void): void;
   slowFactor(): number;
   crash(): void;
-  /** Pulls KV cache from the prefill engine at `address`. */
+  /** Transfers KV cache from the prefill engine at `address`. */
   pullKv(
     address: string,
     kvHandle: string,
@@ -42,7 +42,10 @@
 
 export interface DecodeBatch {
   importKv(call: ImportCall): Promise<ImportResult | EngineFailure>;
-  /** Takes over a session that is imported, queued or running. */
+  /**
+   * Starts decoding an imported session, or replaces the stream of one that is
+   * queued or running.
+   */
   decode(call: DecodeCall, sink: DecodeSink): void;
   cancel(owner: OwnerTag): void;
   sessions(): readonly EngineSession[];
@@ -72,21 +75,21 @@
   host: DecodeHost,
   options: EngineOptions,
 ): DecodeBatch {
-  const {clock, books} = host;
+  const {clock, counters} = host;
   const sessions = new Map<string, Session>();
   let queue: Session[] = [];
   let running: Session[] = [];
   let isStepping = false;
-  let generation = 0;
+  let epoch = 0;
 
   function release(session: Session): void {
     if (!sessions.delete(session.sessionId)) return;
     queue = queue.filter(other => other !== session);
     running = running.filter(other => other !== session);
-    books.freeKv(session.kvSizeBytes);
+    counters.freeKv(session.kvSizeBytes);
   }
 
-  function cut(session: Session, reason: EngineFailure): void {
+  function cutStream(session: Session, reason: EngineFailure): void {
     const decode = session.decode;
     if (!decode) return;
     const {requestId, attemptId} = decode.call.owner;
@@ -105,14 +108,20 @@
     }
   }
 
-  /** Makes room for one more token by giving up the least urgent sequence. */
+  /**
+   * Reserves memory for one more token; preempts the sequences of lowest
+   * priority if it is full.
+   */
   function growKv(session: Session): boolean {
-    while (!books.takeKv(options.kvBytesPerToken)) {
+    while (!counters.reserveKv(options.kvBytesPerToken)) {
       const victim = running.reduce((a, b) =>
         b.decode!.call.priority <= a.decode!.call.priority ? b : a,
       );
       release(victim);
-      cut(victim, failure('no-capacity', 'preempted for lack of KV memory'));
+      cutStream(
+        victim,
+        failure('no-capacity', 'preempted for lack of KV memory'),
+      );
       if (victim === session) return false;
     }
     session.kvSizeBytes += options.kvBytesPerToken;
@@ -130,7 +139,7 @@
     if (decode.nextOffset < decode.endOffset) {
       if (!growKv(session)) return;
       const offset = decode.nextOffset++;
-      books.tokenMade(session.owner);
+      counters.tokenGenerated(session.owner);
       const texts = [decode.answer.textAt(offset)];
       decode.sink({kind: 'tokens', requestId, attemptId, offset, texts});
     }
@@ -154,10 +163,10 @@
   function scheduleStep(): void {
     if (isStepping || running.length + queue.length === 0) return;
     isStepping = true;
-    const born = generation;
+    const startEpoch = epoch;
     clock.setTimer(options.stepMs * host.slowFactor(), () =>
       host.whenThawed(() => {
-        if (born !== generation) return;
+        if (startEpoch !== epoch) return;
         isStepping = false;
         admitQueued();
         for (const session of [...running]) advance(session);
@@ -172,18 +181,18 @@
     sink({kind: 'cut', requestId, attemptId, failure: reason});
   }
 
-  /** A repeat at another entry takes the running stream over. */
-  function takeOver(session: Session): void {
-    cut(session, failure('cancelled', 'taken over by another attempt'));
+  /** A repeated decode call replaces the stream of the previous one. */
+  function cutPreviousStream(session: Session): void {
+    cutStream(session, failure('cancelled', 'taken over by another attempt'));
   }
 
   async function importKv(
     call: ImportCall,
   ): Promise<ImportResult | EngineFailure> {
-    if (!books.takeKv(call.kvSizeBytes)) {
+    if (!counters.reserveKv(call.kvSizeBytes)) {
       return failure('no-capacity', 'no KV memory for the import');
     }
-    const born = generation;
+    const startEpoch = epoch;
     const sessionId = host.random.nextId();
     const session: Session = {
       sessionId,
@@ -200,13 +209,13 @@
       call.kvHandle,
       call.timeoutMs,
     );
-    if (born !== generation) return failure('broken', 'the engine restarted');
+    if (startEpoch !== epoch) return failure('broken', 'the engine restarted');
     if (kv.kind === 'failed') {
       release(session);
       return kv;
     }
     if (!sessions.has(sessionId)) {
-      books.prefillWasted(kv.promptTokenCount);
+      counters.prefillWasted(kv.promptTokenCount);
       return failure('cancelled', 'cancelled during the import');
     }
     sessions.set(sessionId, {...session, kv, state: 'imported'});
@@ -221,7 +230,7 @@
         refuseDecode(call, sink);
         return;
       }
-      takeOver(session);
+      cutPreviousStream(session);
       const answer = expectAnswerByHash(
         session.kv.promptHash,
         options.answerTokens,
@@ -234,7 +243,7 @@
         nextOffset: call.fromOffset,
         endOffset: Math.min(call.maxTokens, answer.naturalTokenCount),
       };
-      books.decodeStarted(call.owner);
+      counters.decodeStarted(call.owner);
       if (session.state === 'imported') {
         session.state = 'queued';
         queue.push(session);
@@ -247,9 +256,9 @@
       );
       for (const session of owned) {
         const isUnused = session.state === 'imported' && session.kv;
-        if (isUnused) books.prefillWasted(session.kv!.promptTokenCount);
+        if (isUnused) counters.prefillWasted(session.kv!.promptTokenCount);
         release(session);
-        cut(session, failure('cancelled', 'cancelled by its owner'));
+        cutStream(session, failure('cancelled', 'cancelled by its owner'));
       }
     },
     sessions: () =>
@@ -261,14 +270,14 @@
       })),
     slotsUsed: () => sessions.size,
     clear() {
-      generation++;
+      epoch++;
       isStepping = false;
-      const gone = [...sessions.values()];
+      const dropped = [...sessions.values()];
       sessions.clear();
       queue = [];
       running = [];
-      for (const session of gone) {
-        cut(session, failure('broken', 'the engine died'));
+      for (const session of dropped) {
+        cutStream(session, failure('broken', 'the engine died'));
       }
     },
   };
--- a/stand_ins/engine_core.ts
+++ b/stand_ins/engine_core.ts
@@ -1,9 +1,9 @@
 /**
- * Stand-in for a model engine, prefill or decode. It runs on a clock and a
- * random source, in process or behind `engine_server.ts`.
+ * Stand-in for a prefill or decode engine. It takes its clock and its random
+ * source from the caller, and runs in process or behind `engine_server.ts`.
  *
- * It is no friend to the router: what an entry leaves behind keeps running
- * and keeps its memory until somebody cancels it.
+ * Work whose router host is gone keeps running and keeps its memory until it
+ * is cancelled: the engine does no cleanup that a router could depend on.
  */
 
 import type {
@@ -17,7 +17,7 @@
   OrderOutcome,
 } from '../src/ports/engine.js';
 import {createDecodeBatch, type DecodeSink} from './decode_batch.js';
-import {createRunningBooks} from './engine_books.js';
+import {createEngineCounters} from './engine_counters.js';
 import {
   defaultEngineOptions,
   failure,
@@ -35,13 +35,13 @@
 import {createPrefillPool} from './prefill_pool.js';
 import {createPrefixCache} from './prefix_cache.js';
 
-/** The engine as a port, with switches for its faults and its books. */
+/** The engine port, with controls for its faults and a view of its state. */
 export interface EngineCore extends EnginePort, KvSource {
   readonly options: EngineOptions;
   readonly gate: FaultGate;
   setLeaving(isLeaving: boolean): void;
   setFaults(patch: Partial<EngineFaults>): void;
-  /** Everything it holds is lost; calls fail until `restart`. */
+  /** Drops all state; calls fail until `restart`. */
   crash(): void;
   restart(): void;
   books(): EngineBooks;
@@ -61,17 +61,17 @@
 const STALE_FRAME_DELAY_MS = 120;
 const MAX_SNAPSHOTS = 1_000;
 
-/** One open stream, from the engine to its reader. */
-interface Attachment {
+/** A decode stream from the engine to its reader. */
+interface OpenStream {
   readonly sink: DecodeSink;
   readonly call: DecodeCall;
-  /** The reader has had its last event. */
+  /** The last event was delivered to the reader. */
   isEnded: boolean;
-  /** The connection under it is silent. */
+  /** Its connection is silent: no more events arrive. */
   isSilent: boolean;
 }
 
-function gateFailed(reason: GateFailure): EngineFailure {
+function toEngineFailure(reason: GateFailure): EngineFailure {
   return failure(reason, `the engine gave no answer: ${reason}`);
 }
 
@@ -82,12 +82,12 @@
   const options: EngineOptions = {...defaultEngineOptions, ...patch};
   const {clock, random} = host;
   const gate = createFaultGate({clock, random}, options);
-  const books = createRunningBooks(options.kvTotalBytes);
+  const counters = createEngineCounters(options.kvTotalBytes);
   const cache = createPrefixCache(
     {clock, random},
     {engineId: options.engineId, maxBlocks: options.cacheBlocks},
   );
-  const attachments = new Set<Attachment>();
+  const openStreams = new Set<OpenStream>();
   const snapshots: {
     readonly atMs: number;
     readonly report: EngineLoadReport;
@@ -103,7 +103,7 @@
   const shared = {
     clock,
     random,
-    books,
+    counters,
     whenThawed: gate.whenThawed,
     slowFactor: () => faults.slowFactor,
     crash,
@@ -112,20 +112,20 @@
   const decodes = createDecodeBatch({...shared, pullKv}, options);
 
   gate.onBreak(what => {
-    for (const attachment of attachments) {
-      if (what !== 'freeze') attachment.isSilent = true;
-      if (what === 'crash') end(attachment, failure('broken', 'engine died'));
-      else watchSilence(attachment, what);
+    for (const stream of openStreams) {
+      if (what !== 'freeze') stream.isSilent = true;
+      if (what === 'crash') endStream(stream, failure('broken', 'engine died'));
+      else endWhenSilenceIsDetected(stream, what);
     }
   });
 
   function crash(): void {
     if (!gate.isUp()) return;
-    books.crashed();
+    counters.crashed();
     gate.crash();
     prefills.clear();
     decodes.clear();
-    books.freeAllKv();
+    counters.freeAllKv();
     cache.clear();
     if (options.restartMs > 0) clock.setTimer(options.restartMs, restart);
   }
@@ -135,36 +135,39 @@
     isLeaving = false;
   }
 
-  /** As a reader finds out by missing heartbeats; the engine runs on. */
-  function watchSilence(attachment: Attachment, what: string): void {
+  /**
+   * Ends the stream when its reader would miss the heartbeats; the engine keeps
+   * decoding.
+   */
+  function endWhenSilenceIsDetected(stream: OpenStream, what: string): void {
     clock.setTimer(options.silenceDetectMs, () => {
       if (what === 'freeze' && !gate.isFrozen()) return;
-      end(attachment, failure('broken', `the stream is silent: ${what}`));
+      endStream(stream, failure('broken', `the stream is silent: ${what}`));
     });
   }
 
-  function end(attachment: Attachment, reason: EngineFailure): void {
-    if (attachment.isEnded) return;
-    attachment.isEnded = true;
-    attachments.delete(attachment);
-    const {requestId, attemptId} = attachment.call.owner;
-    attachment.sink({kind: 'cut', requestId, attemptId, failure: reason});
+  function endStream(stream: OpenStream, reason: EngineFailure): void {
+    if (stream.isEnded) return;
+    stream.isEnded = true;
+    openStreams.delete(stream);
+    const {requestId, attemptId} = stream.call.owner;
+    stream.sink({kind: 'cut', requestId, attemptId, failure: reason});
   }
 
-  function after(delayMs: number, action: () => void): void {
+  function runAfter(delayMs: number, action: () => void): void {
     if (delayMs > 0) clock.setTimer(delayMs, action);
     else action();
   }
 
-  function deliver(attachment: Attachment, event: DecodeEvent): void {
-    after(options.latencyMs, () =>
+  function deliver(stream: OpenStream, event: DecodeEvent): void {
+    runAfter(options.latencyMs, () =>
       gate.whenThawed(() => {
-        if (attachment.isEnded || attachment.isSilent) return;
+        if (stream.isEnded || stream.isSilent) return;
         if (event.kind !== 'tokens') {
-          attachment.isEnded = true;
-          attachments.delete(attachment);
+          stream.isEnded = true;
+          openStreams.delete(stream);
         }
-        attachment.sink(event);
+        stream.sink(event);
       }),
     );
     const isRepeated =
@@ -173,7 +176,7 @@
       random.nextFloat() < faults.staleFrameShare;
     if (!isRepeated) return;
     clock.setTimer(STALE_FRAME_DELAY_MS, () => {
-      if (!attachment.isEnded && !attachment.isSilent) attachment.sink(event);
+      if (!stream.isEnded && !stream.isSilent) stream.sink(event);
     });
   }
 
@@ -186,7 +189,7 @@
   function refuseNewWork(wanted: EngineRole): EngineFailure | undefined {
     if (role !== wanted) return failure('refused', `this engine is ${role}`);
     if (!isLeaving) return undefined;
-    books.workWhileLeaving(clock.nowMs() - leavingSinceMs);
+    counters.workRefusedWhileLeaving(clock.nowMs() - leavingSinceMs);
     return failure('leaving', 'the engine is leaving');
   }
 
@@ -199,28 +202,30 @@
       slotsTotal: options.slots,
       slotsUsed: decodes.slotsUsed(),
       kvTotalBytes: options.kvTotalBytes,
-      kvUsedBytes: books.kvUsedBytes(),
+      kvUsedBytes: counters.kvUsedBytes(),
       queuedTokens: prefills.queuedTokens(),
       leaving: isLeaving,
     };
   }
 
-  /** Snapshots are taken as work comes and goes. */
-  function remember(): void {
+  /**
+   * Called whenever the load changes, so that `delayedReport` has past values.
+   */
+  function recordLoadSnapshot(): void {
     if (faults.loadLagMs === 0) return;
     snapshots.push({atMs: clock.nowMs(), report: reportNow()});
     if (snapshots.length > MAX_SNAPSHOTS) snapshots.shift();
   }
 
-  function lagging(): EngineLoadReport {
-    remember();
-    const seenUntilMs = clock.nowMs() - faults.loadLagMs;
-    const old = snapshots.filter(snapshot => snapshot.atMs <= seenUntilMs);
-    const shown = old.at(-1) ?? snapshots[0];
-    return shown?.report ?? reportNow();
+  function delayedReport(): EngineLoadReport {
+    recordLoadSnapshot();
+    const visibleUntilMs = clock.nowMs() - faults.loadLagMs;
+    const old = snapshots.filter(snapshot => snapshot.atMs <= visibleUntilMs);
+    const visible = old.at(-1) ?? snapshots[0];
+    return visible?.report ?? reportNow();
   }
 
-  function carryOut(order: EngineOrder, sentAtMs: number): OrderOutcome {
+  function handleOrder(order: EngineOrder, sentAtMs: number): OrderOutcome {
     if (options.checksFences && order.fence < highestFence) {
       return {kind: 'fenced', highestFence};
     }
@@ -228,17 +233,17 @@
       return failure('refused', 'the order came after its life');
     }
     highestFence = Math.max(highestFence, order.fence);
-    after(options.orderMs, () => apply(order));
+    runAfter(options.orderMs, () => applyOrder(order));
     return {kind: 'accepted'};
   }
 
-  function apply(order: EngineOrder): void {
+  function applyOrder(order: EngineOrder): void {
     const {action} = order;
     if (action.kind === 'change-role') role = action.role;
     if (action.kind === 'load-model' && !models.includes(action.model)) {
       models = [...models, action.model];
     }
-    books.orderApplied({
+    counters.orderApplied({
       orderId: order.orderId,
       fence: order.fence,
       actionKind: action.kind,
@@ -246,22 +251,22 @@
     });
   }
 
-  function startDecode(call: DecodeCall, attachment: Attachment): void {
-    if (attachment.isEnded || attachment.isSilent) return;
+  function startDecode(call: DecodeCall, stream: OpenStream): void {
+    if (stream.isEnded || stream.isSilent) return;
     if (!gate.isUp()) {
-      end(attachment, failure('unreachable', 'the engine is down'));
+      endStream(stream, failure('unreachable', 'the engine is down'));
       return;
     }
     gate.whenThawed(() => {
-      decodes.decode(call, event => deliver(attachment, event));
-      remember();
+      decodes.decode(call, event => deliver(stream, event));
+      recordLoadSnapshot();
     });
   }
 
   function cancelAll(owner: DecodeCall['owner']): void {
     prefills.cancel(owner);
     decodes.cancel(owner);
-    remember();
+    recordLoadSnapshot();
   }
 
   return {
@@ -270,39 +275,39 @@
     prefill: call =>
       gate.call({
         timeoutMs: call.timeoutMs,
-        failed: gateFailed,
+        failed: toEngineFailure,
         run: () => refuseNewWork('prefill') ?? prefills.run(call),
       }),
     importKv: call =>
       gate.call({
         timeoutMs: call.timeoutMs,
-        failed: gateFailed,
+        failed: toEngineFailure,
         run: () => refuseNewWork('decode') ?? decodes.importKv(call),
       }),
     decode(call, sink) {
-      const attachment: Attachment = {
+      const stream: OpenStream = {
         call,
         sink,
         isEnded: false,
         isSilent: false,
       };
-      attachments.add(attachment);
-      after(options.latencyMs, () => startDecode(call, attachment));
+      openStreams.add(stream);
+      runAfter(options.latencyMs, () => startDecode(call, stream));
       return {
         cancel() {
-          after(options.latencyMs, () => {
-            if (!attachment.isSilent) {
+          runAfter(options.latencyMs, () => {
+            if (!stream.isSilent) {
               gate.whenThawed(() => cancelAll(call.owner));
             }
           });
-          end(attachment, failure('cancelled', 'cancelled by its reader'));
+          endStream(stream, failure('cancelled', 'cancelled by its reader'));
         },
       };
     },
     cancel: (owner, timeoutMs) =>
       gate.call<'released', EngineFailure>({
         timeoutMs,
-        failed: gateFailed,
+        failed: toEngineFailure,
         run() {
           cancelAll(owner);
           return 'released';
@@ -311,30 +316,30 @@
     sessions: timeoutMs =>
       gate.call({
         timeoutMs,
-        failed: gateFailed,
+        failed: toEngineFailure,
         run: () => [...prefills.sessions(), ...decodes.sessions()],
       }),
     load: timeoutMs =>
       gate.call({
         timeoutMs,
-        failed: gateFailed,
-        run: () => (faults.loadLagMs === 0 ? reportNow() : lagging()),
+        failed: toEngineFailure,
+        run: () => (faults.loadLagMs === 0 ? reportNow() : delayedReport()),
       }),
     cacheEvents: (afterSequence, timeoutMs) =>
       gate.call({
         timeoutMs,
-        failed: gateFailed,
+        failed: toEngineFailure,
         run: () => cache.events(afterSequence),
       }),
     order(order, timeoutMs) {
       const sentAtMs = clock.nowMs();
       return gate.call<OrderOutcome, EngineFailure>({
         timeoutMs,
-        failed: gateFailed,
+        failed: toEngineFailure,
         run: () =>
           new Promise(resolve =>
-            after(faults.orderDelayMs, () =>
-              resolve(carryOut(order, sentAtMs)),
+            runAfter(faults.orderDelayMs, () =>
+              resolve(handleOrder(order, sentAtMs)),
             ),
           ),
       });
@@ -343,19 +348,19 @@
       gate.call<'alive', EngineFailure>({
         timeoutMs,
         isFresh: true,
-        failed: gateFailed,
+        failed: toEngineFailure,
         run: () => 'alive',
       }),
     exportKv: (kvHandle, timeoutMs) =>
       gate.call({
         timeoutMs,
-        failed: gateFailed,
+        failed: toEngineFailure,
         run: () => prefills.exportKv(kvHandle, () => faults.stallTransfers),
       }),
     setLeaving(value) {
       if (value && !isLeaving) leavingSinceMs = clock.nowMs();
       isLeaving = value;
-      remember();
+      recordLoadSnapshot();
     },
     setFaults(next) {
       faults = {...faults, ...next};
@@ -368,7 +373,7 @@
     crash,
     restart,
     books: () => ({
-      ...books.totals(),
+      ...counters.totals(),
       engineId: options.engineId,
       role,
       isUp: gate.isUp(),
--- a/stand_ins/engine_books.ts
+++ b/stand_ins/engine_counters.ts
@@ -1,22 +1,22 @@
-/** Books of a stand-in engine: what it ran, for which request, and its memory. */
+/** Counters of a stand-in engine: its work by request, and its KV memory. */
 
 import type {OwnerTag} from '../src/ports/engine.js';
 import type {AppliedOrder, EngineRun} from './engine_types.js';
 
 type Mutable<T> = {-readonly [K in keyof T]: T[K]};
 
-export interface RunningBooks {
+export interface EngineCounters {
   prefillStarted(owner: OwnerTag): void;
   prefillFinished(owner: OwnerTag, computed: number, cached: number): void;
   prefillWasted(tokenCount: number): void;
   decodeStarted(owner: OwnerTag): void;
-  tokenMade(owner: OwnerTag): void;
+  tokenGenerated(owner: OwnerTag): void;
   orderApplied(order: AppliedOrder): void;
   crashed(): void;
-  /** Work offered this long after the engine began to leave. */
-  workWhileLeaving(sinceMs: number): void;
-  /** False, and nothing taken, when the memory does not suffice. */
-  takeKv(sizeBytes: number): boolean;
+  /** Counts work refused `sinceMs` after the engine began to leave. */
+  workRefusedWhileLeaving(sinceMs: number): void;
+  /** Returns false and reserves nothing when the free memory is too small. */
+  reserveKv(sizeBytes: number): boolean;
   freeKv(sizeBytes: number): void;
   freeAllKv(): void;
   kvUsedBytes(): number;
@@ -36,10 +36,10 @@
   };
 }
 
-/** Requests remembered; the oldest are forgotten first. */
+/** Number of requests kept; the oldest are dropped first. */
 const MAX_RUNS = 200_000;
 
-export function createRunningBooks(kvTotalBytes: number): RunningBooks {
+export function createEngineCounters(kvTotalBytes: number): EngineCounters {
   const runs = new Map<string, Mutable<EngineRun>>();
   const orders: AppliedOrder[] = [];
   const workAfterLeavingMs: number[] = [];
@@ -56,8 +56,8 @@
   };
 
   function runOf(owner: OwnerTag): Mutable<EngineRun> {
-    const known = runs.get(owner.requestId);
-    if (known) return known;
+    const existing = runs.get(owner.requestId);
+    if (existing) return existing;
     const run = {
       requestId: owner.requestId,
       prefillsStarted: 0,
@@ -87,14 +87,14 @@
     decodeStarted(owner) {
       runOf(owner).decodesStarted++;
     },
-    tokenMade(owner) {
+    tokenGenerated(owner) {
       runOf(owner).tokensMade++;
       sums.tokensMade++;
     },
     orderApplied: order => void orders.push(order),
     crashed: () => void sums.crashes++,
-    workWhileLeaving: sinceMs => void workAfterLeavingMs.push(sinceMs),
-    takeKv(sizeBytes) {
+    workRefusedWhileLeaving: sinceMs => void workAfterLeavingMs.push(sinceMs),
+    reserveKv(sizeBytes) {
       if (sums.kvUsedBytes + sizeBytes > kvTotalBytes) return false;
       sums.kvUsedBytes += sizeBytes;
       sums.kvPeakBytes = Math.max(sums.kvPeakBytes, sums.kvUsedBytes);
--- a/stand_ins/engine_server.ts
+++ b/stand_ins/engine_server.ts
@@ -1,4 +1,4 @@
-/** HTTP front of the stand-in engine; docs/PROTOCOLS.md tells what it speaks. */
+/** HTTP server of the stand-in engine. The protocol is in docs/PROTOCOLS.md. */
 
 import type {
   DecodeCall,
@@ -12,29 +12,32 @@
 import type {FaultGate} from './fault_gate.js';
 import {createFaultHandler} from './fault_routes.js';
 import {
-  createHttpFront,
-  type FrontHandler,
-  type FrontStream,
-  type HttpFront,
-} from './http_front.js';
+  createStandInServer,
+  type RouteHandler,
+  type ServerStream,
+  type StandInServer,
+} from './stand_in_server.js';
 
-/** Over HTTP the caller's own timeout decides. */
+/** Calls over HTTP are bounded by the caller's own timeout. */
 const CALL_TIMEOUT_MS = Number.POSITIVE_INFINITY;
 const HEARTBEAT_MS = 1_000;
 
-/** One line of the stream is an array of these. */
+/** Each line of the stream is an array of these. */
 type StreamItem =
   | readonly [streamId: number, offset: number, ...texts: string[]]
   | readonly [streamId: number, kind: 'end', count: number, reason: string]
   | readonly [streamId: number, kind: 'cut', failure: unknown];
 
-/** The stream of all decodes that one entry runs here. */
+/** The stream that carries all decodes of one router host. */
 interface EntryStream {
   push(item: StreamItem): void;
 }
 
 interface DecodeBody extends DecodeCall {
-  /** Which stream brings the answer, and its number there. */
+  /**
+   * Name of the stream that carries the answer; `streamId` identifies the
+   * answer within it.
+   */
   readonly stream: string;
   readonly streamId: number;
 }
@@ -51,10 +54,10 @@
 }
 
 /**
- * All that one engine step brings for an entry goes out in one write: the
- * step is one synchronous run, and the flush waits for its end.
+ * Writes all events of an engine step for one router host at once: a step runs
+ * synchronously, and the flush is a microtask that runs after it.
  */
-function createEntryStream(stream: FrontStream, gate: FaultGate): EntryStream {
+function createEntryStream(stream: ServerStream, gate: FaultGate): EntryStream {
   let items: StreamItem[] = [];
   const heartbeat = setInterval(() => {
     if (!gate.isFrozen()) stream.write('[]\n');
@@ -78,17 +81,17 @@
 export async function createEngineServer(
   core: EngineCore,
   address: string,
-): Promise<HttpFront> {
+): Promise<StandInServer> {
   const streams = new Map<string, EntryStream>();
 
-  const answer =
-    <T>(call: (body: T) => Promise<unknown>): FrontHandler =>
+  const handleJson =
+    <T>(call: (body: T) => Promise<unknown>): RouteHandler =>
     async request => ({
       status: 200,
       body: await call(request.json() as T),
     });
 
-  const openStream: FrontHandler = async (request, open) => {
+  const openStream: RouteHandler = async (request, open) => {
     const name = request.query.get('name') ?? '';
     const stream = open();
     const entryStream = createEntryStream(stream, core.gate);
@@ -106,23 +109,23 @@
     return {isStarted: true};
   }
 
-  const front: HttpFront = await createHttpFront({
+  const server: StandInServer = await createStandInServer({
     address,
     routes: {
-      'POST /prefill': answer<PrefillCall>(call =>
+      'POST /prefill': handleJson<PrefillCall>(call =>
         core.prefill({...call, timeoutMs: CALL_TIMEOUT_MS}),
       ),
-      'POST /import': answer<ImportCall>(call => core.importKv(call)),
-      'POST /export': answer<{kvHandle: string; timeoutMs: number}>(call =>
+      'POST /import': handleJson<ImportCall>(call => core.importKv(call)),
+      'POST /export': handleJson<{kvHandle: string; timeoutMs: number}>(call =>
         core.exportKv(call.kvHandle, call.timeoutMs),
       ),
-      'POST /decode': answer<DecodeBody>(startDecode),
+      'POST /decode': handleJson<DecodeBody>(startDecode),
       'GET /stream': openStream,
-      'POST /cancel': answer<OwnerTag>(owner =>
+      'POST /cancel': handleJson<OwnerTag>(owner =>
         core.cancel(owner, CALL_TIMEOUT_MS),
       ),
-      'GET /sessions': answer(() => core.sessions(CALL_TIMEOUT_MS)),
-      'GET /load': answer(() => core.load(CALL_TIMEOUT_MS)),
+      'GET /sessions': handleJson(() => core.sessions(CALL_TIMEOUT_MS)),
+      'GET /load': handleJson(() => core.load(CALL_TIMEOUT_MS)),
       'GET /cache-events': async request => ({
         status: 200,
         body: await core.cacheEvents(
@@ -130,16 +133,16 @@
           CALL_TIMEOUT_MS,
         ),
       }),
-      'POST /order': answer<EngineOrder>(order =>
+      'POST /order': handleJson<EngineOrder>(order =>
         core.order(order, CALL_TIMEOUT_MS),
       ),
-      'GET /alive': answer(() => core.probe(CALL_TIMEOUT_MS)),
+      'GET /alive': handleJson(() => core.probe(CALL_TIMEOUT_MS)),
       'GET /books': async () => ({status: 200, body: core.books()}),
-      'PUT /faults': createFaultHandler(core, () => front),
+      'PUT /faults': createFaultHandler(core, () => server),
     },
   });
   core.gate.onBreak(what => {
-    if (what === 'crash') void front.close();
+    if (what === 'crash') void server.close();
   });
-  return front;
+  return server;
 }
--- a/stand_ins/engine_types.ts
+++ b/stand_ins/engine_types.ts
@@ -1,4 +1,4 @@
-/** Options, faults and books of the stand-in engine. */
+/** Types of the stand-in engine: its options, faults and statistics. */
 
 import type {Clock} from '../src/ports/clock.js';
 import type {
@@ -9,7 +9,7 @@
 } from '../src/ports/engine.js';
 import type {Random} from '../src/ports/random.js';
 
-/** KV cache on its way from a prefill engine to a decode engine. */
+/** Describes KV cache transferred from a prefill engine to a decode engine. */
 export interface KvExport {
   readonly kind: 'exported';
   readonly model: string;
@@ -19,9 +19,11 @@
   readonly kvSizeBytes: number;
 }
 
-/** What a decode engine pulls KV cache from. */
+/** A prefill engine, from which a decode engine transfers KV cache. */
 export interface KvSource {
-  /** Resolves when the last byte is over; the source then holds no more. */
+  /**
+   * Resolves after the last byte; the source has then released the KV cache.
+   */
   exportKv(
     kvHandle: string,
     timeoutMs: number,
@@ -31,7 +33,7 @@
 export interface EngineHost {
   readonly clock: Clock;
   readonly random: Random;
-  /** Finds the prefill engine at an address. */
+  /** Returns the prefill engine at `address`, or undefined if there is none. */
   kvSource(address: string): KvSource | undefined;
 }
 
@@ -39,37 +41,39 @@
   readonly engineId: string;
   readonly role: EngineRole;
   readonly models: readonly string[];
-  /** Decodes that run at once. */
+  /** Maximum number of concurrent decodes. */
   readonly slots: number;
-  /** Time in which each running sequence advances by one token. */
+  /**
+   * Duration of a step, in which each running sequence advances by one token.
+   */
   readonly stepMs: number;
   readonly kvTotalBytes: number;
   readonly kvBytesPerToken: number;
   readonly cacheBlocks: number;
   readonly prefillBaseMs: number;
   readonly prefillMsPerToken: number;
-  /** How long a prefill result is kept; under a second. */
+  /** How long a prefill result is kept; less than a second by default. */
   readonly prefillLifeMs: number;
   readonly linkBytesPerMs: number;
   readonly answerTokens: number;
   readonly loadLagMs: number;
   readonly checksFences: boolean;
-  /** Time to carry out an order. */
+  /** Time to apply an order. */
   readonly orderMs: number;
   /** Prompts with one of these tokens crash the engine that runs them. */
   readonly crashOnTokens: readonly number[];
   readonly crashAt: EngineRole;
-  /** An engine that crashed comes back after this long; 0: it stays down. */
+  /** Time until a crashed engine restarts; 0 leaves it down. */
   readonly restartMs: number;
-  /** One way, for calls in process. */
+  /** One-way latency of in-process calls. */
   readonly latencyMs: number;
-  /** After this long without a sign of life a stream is given up as broken. */
+  /** A stream that is silent for this long counts as broken. */
   readonly silenceDetectMs: number;
 }
 
 const GIBIBYTE = 1024 ** 3;
 
-/** An engine of the size the brief tells of. */
+/** Options of an engine of the size that the specification describes. */
 export const defaultEngineOptions: EngineOptions = {
   engineId: 'engine',
   role: 'decode',
@@ -94,23 +98,23 @@
   silenceDetectMs: 3_000,
 };
 
-/** Faults of an engine beyond those of its gate; a patch may name a few. */
+/** Faults of an engine, beside those of its fault gate. */
 export interface EngineFaults {
-  /** Transfers out of this engine make no progress. */
+  /** KV transfers from this engine make no progress. */
   readonly stallTransfers: boolean;
   /** Steps and prefills take this many times as long. */
   readonly slowFactor: number;
   readonly loadLagMs: number;
   readonly cacheEventLagMs: number;
   readonly cacheEventLostShare: number;
-  /** Share of token frames sent once more, later. */
+  /** Share of token frames that are sent a second time, later. */
   readonly staleFrameShare: number;
-  /** Orders wait this long on their way before the engine sees them. */
+  /** Delay before an order reaches the engine. */
   readonly orderDelayMs: number;
   readonly answerDelayMs: number;
 }
 
-/** What one engine did for one request. */
+/** Work that one engine did for one request. */
 export interface EngineRun {
   readonly requestId: string;
   readonly prefillsStarted: number;
@@ -119,7 +123,7 @@
   readonly tokensMade: number;
 }
 
-/** An order that the engine carried out. */
+/** An order that the engine applied. */
 export interface AppliedOrder {
   readonly orderId: string;
   readonly fence: number;
@@ -127,7 +131,7 @@
   readonly atMs: number;
 }
 
-/** What the engine did and holds, for observers; no product code sees it. */
+/** State and counters of the engine, read only by tests and observers. */
 export interface EngineBooks {
   readonly engineId: string;
   readonly role: EngineRole;
@@ -136,7 +140,7 @@
   readonly prefillsFinished: number;
   readonly prefillTokensComputed: number;
   readonly prefillTokensCached: number;
-  /** Finished prefills and imports thrown away before a first token. */
+  /** Finished prefills and imports that were discarded before a first token. */
   readonly prefillsWasted: number;
   readonly prefillTokensWasted: number;
   readonly tokensMade: number;
@@ -145,11 +149,13 @@
   readonly sessions: readonly EngineSession[];
   readonly orders: readonly AppliedOrder[];
   readonly crashes: number;
-  /** For each piece of work refused since the engine leaves: how long after. */
+  /**
+   * For each refused piece of work, the time since the engine began to leave.
+   */
   readonly workAfterLeavingMs: readonly number[];
 }
 
-/** True if both name the same attempt. */
+/** Returns true if both tags identify the same attempt. */
 export function isSameOwner(a: OwnerTag, b: OwnerTag): boolean {
   return (
     a.attemptId === b.attemptId &&
--- a/stand_ins/fault_gate.ts
+++ b/stand_ins/fault_gate.ts
@@ -1,12 +1,12 @@
 /**
- * The way in and out of a stand-in: carries calls with latency and timeouts,
- * and is where a process death, a freeze, or connections going silent show.
+ * Wraps the calls to a stand-in with latency and timeouts, and simulates
+ * crashes, freezes and silent connections.
  */
 
 import type {Clock} from '../src/ports/clock.js';
 import type {Random} from '../src/ports/random.js';
 
-/** How a call fails that gets no answer. */
+/** Why a call got no answer. */
 export type GateFailure = 'unreachable' | 'broken' | 'timeout';
 
 export interface GateHost {
@@ -15,43 +15,48 @@
 }
 
 export interface GateOptions {
-  /** One way. */
+  /** One-way latency. */
   readonly latencyMs?: number;
 }
 
 export interface GateCall<T, F> {
-  /** Infinity: the call waits for its answer for good. */
+  /** Infinity disables the timeout. */
   readonly timeoutMs: number;
-  /** Opens a connection of its own, so that a silent pooled one is avoided. */
+  /** Uses a new connection, which a silent pooled one does not affect. */
   readonly isFresh?: boolean;
   run(): T | Promise<T>;
-  /** Makes the result of a call that gets no answer. */
+  /** Creates the result of a call that got no answer. */
   failed(reason: GateFailure): F;
 }
 
 export interface FaultGate {
   call<T, F>(call: GateCall<T, F>): Promise<T | F>;
-  /** Runs `action` at once, or when a freeze ends; never after a crash. */
+  /**
+   * Runs `action` at once, or at the end of a freeze unless the process crashes
+   * first.
+   */
   whenThawed(action: () => void): void;
   freeze(): void;
   thaw(): void;
   /**
-   * Open connections stop answering for good. Calls in flight get no answer,
-   * and so do the next `pooledConnections` calls that open none of their own.
+   * Silences open connections permanently: pending calls and the next
+   * `pooledConnections` calls that reuse a connection get no answer.
    */
   silence(pooledConnections?: number): void;
   crash(): void;
   restart(): void;
-  /** Answers are held back by a random time up to this, so that they cross. */
+  /**
+   * Delays each answer by a random time up to `maxMs`, which reorders answers.
+   */
   delayAnswers(maxMs: number): void;
-  /** Called on each crash and each silence, with what happened. */
+  /** Adds a handler for crashes, silenced connections and freezes. */
   onBreak(handler: (what: 'crash' | 'silence' | 'freeze') => void): void;
   isUp(): boolean;
   isFrozen(): boolean;
 }
 
-interface Flight {
-  /** Its connection has gone silent: nothing more arrives either way. */
+interface PendingCall {
+  /** Its connection is silent: nothing arrives in either direction. */
   isSilent: boolean;
   fail(reason: GateFailure): void;
 }
@@ -62,12 +67,12 @@
 ): FaultGate {
   const {clock, random} = host;
   const latencyMs = options.latencyMs ?? 0;
-  const flights = new Set<Flight>();
+  const pendingCalls = new Set<PendingCall>();
   const breakHandlers: ((what: 'crash' | 'silence' | 'freeze') => void)[] = [];
   let frozenActions: (() => void)[] = [];
   let isFrozen = false;
   let isCrashed = false;
-  let silentPooled = 0;
+  let silentConnectionsLeft = 0;
   let answerDelayMs = 0;
 
   function whenThawed(action: () => void): void {
@@ -75,39 +80,39 @@
     else action();
   }
 
-  function after(delayMs: number, action: () => void): void {
+  function runAfter(delayMs: number, action: () => void): void {
     if (delayMs > 0) clock.setTimer(delayMs, action);
     else action();
   }
 
   function call<T, F>(request: GateCall<T, F>): Promise<T | F> {
     return new Promise<T | F>(resolve => {
-      const flight: Flight = {
-        isSilent: silentPooled > 0 && !request.isFresh,
+      const pendingCall: PendingCall = {
+        isSilent: silentConnectionsLeft > 0 && !request.isFresh,
         fail: reason => finish(request.failed(reason)),
       };
-      if (flight.isSilent) silentPooled--;
+      if (pendingCall.isSilent) silentConnectionsLeft--;
       const timer = Number.isFinite(request.timeoutMs)
-        ? clock.setTimer(request.timeoutMs, () => flight.fail('timeout'))
+        ? clock.setTimer(request.timeoutMs, () => pendingCall.fail('timeout'))
         : undefined;
       function finish(value: T | F): void {
-        if (!flights.delete(flight)) return;
+        if (!pendingCalls.delete(pendingCall)) return;
         if (timer) clock.clearTimer(timer);
         resolve(value);
       }
       function answer(value: T): void {
-        const heldMs =
+        const extraDelayMs =
           answerDelayMs > 0 ? random.nextFloat() * answerDelayMs : 0;
-        after(latencyMs + heldMs, () => {
+        runAfter(latencyMs + extraDelayMs, () => {
           whenThawed(() => {
-            if (!flight.isSilent) finish(value);
+            if (!pendingCall.isSilent) finish(value);
           });
         });
       }
-      flights.add(flight);
-      after(latencyMs, () => {
-        if (isCrashed) flight.fail('unreachable');
-        if (flight.isSilent || !flights.has(flight)) return;
+      pendingCalls.add(pendingCall);
+      runAfter(latencyMs, () => {
+        if (isCrashed) pendingCall.fail('unreachable');
+        if (pendingCall.isSilent || !pendingCalls.has(pendingCall)) return;
         whenThawed(() => void Promise.resolve(request.run()).then(answer));
       });
     });
@@ -130,14 +135,14 @@
       const actions = frozenActions;
       frozenActions = [];
       for (const action of actions) {
-        // One of them may have crashed the process; the rest died with it.
+        // An action may crash the process; the remaining ones then do not run.
         if (isCrashed) return;
         action();
       }
     },
     silence(pooledConnections = 1) {
-      silentPooled = pooledConnections;
-      for (const flight of flights) flight.isSilent = true;
+      silentConnectionsLeft = pooledConnections;
+      for (const pendingCall of pendingCalls) pendingCall.isSilent = true;
       notify('silence');
     },
     crash() {
@@ -146,7 +151,7 @@
       isFrozen = false;
       frozenActions = [];
       notify('crash');
-      for (const flight of [...flights]) flight.fail('broken');
+      for (const pendingCall of [...pendingCalls]) pendingCall.fail('broken');
     },
     restart() {
       isCrashed = false;
--- a/stand_ins/fault_routes.ts
+++ b/stand_ins/fault_routes.ts
@@ -1,7 +1,7 @@
-/** `PUT /faults`, alike for all stand-ins. */
+/** Handler of `PUT /faults`, shared by all stand-ins. */
 
 import type {FaultGate} from './fault_gate.js';
-import type {FrontHandler, HttpFront} from './http_front.js';
+import type {RouteHandler, StandInServer} from './stand_in_server.js';
 
 interface FaultyCore {
   readonly gate: FaultGate;
@@ -10,7 +10,7 @@
   setLeaving?(isLeaving: boolean): void;
 }
 
-/** Body of `PUT /faults`: what to switch; all else goes to `setFaults`. */
+/** Body of `PUT /faults`; fields not listed here go to `setFaults`. */
 interface FaultPatch {
   readonly frozen?: boolean;
   readonly silence?: boolean;
@@ -19,11 +19,11 @@
   readonly [name: string]: unknown;
 }
 
-/** Answers before it crashes, so that the one who asked for it knows. */
+/** Sends the response before a crash, so that the caller gets it. */
 export function createFaultHandler(
   core: FaultyCore,
-  front: () => HttpFront,
-): FrontHandler {
+  server: () => StandInServer,
+): RouteHandler {
   return async request => {
     const {frozen, silence, crash, leaving, ...rest} =
       request.json() as FaultPatch;
@@ -31,7 +31,7 @@
     if (frozen === true) core.gate.freeze();
     if (frozen === false) core.gate.thaw();
     if (leaving !== undefined) core.setLeaving?.(leaving);
-    if (silence) setImmediate(() => front().silenceConnections());
+    if (silence) setImmediate(() => server().silenceConnections());
     if (crash) setImmediate(() => core.crash());
     return {status: 200, body: {}};
   };
--- a/stand_ins/http_kv_source.ts
+++ b/stand_ins/http_kv_source.ts
@@ -1,4 +1,4 @@
-/** Lets a stand-in decode engine pull KV cache from another over HTTP. */
+/** Transfers KV cache over HTTP from a prefill engine to a decode engine. */
 
 import {request} from 'undici';
 import type {EngineFailure} from '../src/ports/engine.js';
--- a/stand_ins/platform_core.ts
+++ b/stand_ins/platform_core.ts
@@ -1,7 +1,7 @@
 /**
- * Stand-in for the platform: a transactional table, an object store and a
- * lagging list of hosts, with rate limits, outages, slowness, answers lost
- * after the write took effect, and writes that take effect late.
+ * Stand-in for the platform: a transactional table, an object store and a list
+ * of hosts that shows changes late. It simulates rate limits, outages, slow
+ * calls, lost answers to applied writes, and writes that apply late.
  */
 
 import type {Clock} from '../src/ports/clock.js';
@@ -27,11 +27,11 @@
 export interface PlatformOptions {
   readonly writesPerSecond: number;
   readonly readsPerSecond: number;
-  /** How late the list of hosts shows a change. */
+  /** Delay until the list of hosts shows a change. */
   readonly hostListLagMs: number;
-  /** One way, for calls in process. */
+  /** One-way latency of in-process calls. */
   readonly latencyMs: number;
-  /** Time that the platform takes for a write. */
+  /** Time to apply a write. */
   readonly writeMs: number;
 }
 
@@ -44,13 +44,13 @@
 };
 
 export interface PlatformFaults {
-  /** Everything is refused, before it is tried. */
+  /** Every call is refused and has no effect. */
   readonly isDown: boolean;
-  /** Each call takes this much longer. */
+  /** Additional time of each call. */
   readonly slowMs: number;
-  /** Share of writes that apply and whose answer is lost. */
+  /** Share of writes that apply but whose answer is lost. */
   readonly answerLostShare: number;
-  /** Share of writes whose answer is lost and that apply `lateMs` later. */
+  /** Share of writes that apply `lateMs` later and whose answer is lost. */
   readonly lateShare: number;
   readonly lateMs: number;
   /** Share of reads whose answer is lost. */
@@ -67,7 +67,7 @@
   readonly lateWrites: number;
   readonly rowCount: number;
   readonly objectCount: number;
-  /** The most recent transactions that were decided. */
+  /** The most recent transactions, applied and rejected. */
   readonly log: readonly LoggedTransaction[];
 }
 
@@ -77,10 +77,10 @@
   readonly hosts: HostListPort;
   readonly options: PlatformOptions;
   readonly gate: FaultGate;
-  /** What the list of hosts will show once the lag has passed. */
+  /** Sets the hosts that the list shows once the lag has passed. */
   setHosts(hosts: readonly ListedHost[]): void;
   setFaults(patch: Partial<PlatformFaults>): void;
-  /** Ends the process's service; rows and objects are kept. */
+  /** Stops serving; rows and objects are kept. */
   crash(): void;
   restart(): void;
   books(): PlatformBooks;
@@ -124,7 +124,7 @@
     hostListLagMs: options.hostListLagMs,
   };
 
-  function after<T>(delayMs: number, action: () => T): Promise<T> {
+  function runAfter<T>(delayMs: number, action: () => T): Promise<T> {
     return new Promise(resolve => {
       if (delayMs <= 0) resolve(action());
       else {
@@ -133,7 +133,7 @@
     });
   }
 
-  function decide(transaction: TableTransaction): WriteOutcome {
+  function applyAndLog(transaction: TableTransaction): WriteOutcome {
     const outcome = store.apply(transaction);
     log.push({
       atMs: clock.nowMs(),
@@ -145,7 +145,7 @@
     return outcome;
   }
 
-  /** Why a write is refused before it is tried, if it is. */
+  /** Returns why a write is refused, or undefined if it may apply. */
   function refuseWrite(): 'unavailable' | 'rate-limited' | undefined {
     counts.writes++;
     const reason = faults.isDown
@@ -157,21 +157,23 @@
     return reason;
   }
 
-  /** Carries out a write, with what may befall it and its answer. */
+  /**
+   * Applies a write, subject to the faults that lose its answer or delay it.
+   */
   function write<T>(apply: () => T): Promise<T> {
-    const dice = random.nextFloat();
+    const draw = random.nextFloat();
     const delayMs = options.writeMs + faults.slowMs;
-    if (dice < faults.answerLostShare) {
+    if (draw < faults.answerLostShare) {
       counts.answersLost++;
-      void after(delayMs, apply);
+      void runAfter(delayMs, apply);
       return NEVER;
     }
-    if (dice < faults.answerLostShare + faults.lateShare) {
+    if (draw < faults.answerLostShare + faults.lateShare) {
       counts.lateWrites++;
-      void after(delayMs + faults.lateMs, apply);
+      void runAfter(delayMs + faults.lateMs, apply);
       return NEVER;
     }
-    return after(delayMs, apply);
+    return runAfter(delayMs, apply);
   }
 
   function read<T>(timeoutMs: number, value: () => T): Promise<ReadOutcome<T>> {
@@ -186,7 +188,7 @@
           return {kind: 'failed', reason};
         }
         if (random.nextFloat() < faults.readLostShare) return NEVER;
-        return after(faults.slowMs, () => ({kind: 'read', value: value()}));
+        return runAfter(faults.slowMs, () => ({kind: 'read', value: value()}));
       },
     });
   }
@@ -208,7 +210,7 @@
             : {kind: 'unknown', reason},
         run() {
           const refused = refuseWrite();
-          if (!refused) return write(() => decide(transaction));
+          if (!refused) return write(() => applyAndLog(transaction));
           return {
             kind: 'refused',
             reason: refused,
@@ -244,9 +246,9 @@
   };
 
   function listedHosts(): readonly ListedHost[] {
-    const seenUntilMs = clock.nowMs() - faults.hostListLagMs;
-    const seen = hostLists.filter(list => list.atMs <= seenUntilMs);
-    return seen.at(-1)!.hosts;
+    const visibleUntilMs = clock.nowMs() - faults.hostListLagMs;
+    const visible = hostLists.filter(list => list.atMs <= visibleUntilMs);
+    return visible.at(-1)!.hosts;
   }
 
   return {
@@ -256,7 +258,7 @@
     options,
     gate,
     setHosts(hosts) {
-      // The first list is there from the start, as on a running platform.
+      // The first list shows at once, as on a platform that already runs.
       const isFirst = hostLists.length === 1;
       const atMs = isFirst ? Number.NEGATIVE_INFINITY : clock.nowMs();
       hostLists.push({atMs, hosts});
--- a/stand_ins/platform_server.ts
+++ b/stand_ins/platform_server.ts
@@ -1,4 +1,4 @@
-/** HTTP front of the stand-in platform. */
+/** HTTP server of the stand-in platform. */
 
 import type {
   ListedHost,
@@ -8,11 +8,11 @@
 } from '../src/ports/table.js';
 import {createFaultHandler} from './fault_routes.js';
 import {
-  createHttpFront,
-  type FrontAnswer,
-  type FrontHandler,
-  type HttpFront,
-} from './http_front.js';
+  createStandInServer,
+  type ServerAnswer,
+  type RouteHandler,
+  type StandInServer,
+} from './stand_in_server.js';
 import type {PlatformCore} from './platform_core.js';
 
 const CALL_TIMEOUT_MS = Number.POSITIVE_INFINITY;
@@ -27,14 +27,14 @@
 
 function readAnswer<T>(
   outcome: ReadOutcome<T>,
-  bodyOf: (value: T) => FrontAnswer,
-): FrontAnswer {
+  bodyOf: (value: T) => ServerAnswer,
+): ServerAnswer {
   if (outcome.kind === 'read') return bodyOf(outcome.value);
   const status = outcome.reason === 'rate-limited' ? 429 : 503;
   return {status, body: {error: outcome.reason}};
 }
 
-function writeAnswer(outcome: WriteOutcome): FrontAnswer {
+function writeAnswer(outcome: WriteOutcome): ServerAnswer {
   if (outcome.kind !== 'refused') return {status: 200, body: outcome};
   return {status: refusalStatus[outcome.reason], body: outcome};
 }
@@ -42,25 +42,25 @@
 export async function createPlatformServer(
   core: PlatformCore,
   address: string,
-): Promise<HttpFront> {
+): Promise<StandInServer> {
   const {table, objects, hosts} = core;
   const listed = new Map<string, ListedHost>();
 
   const keyOf = (path: string, parent: string) =>
     decodeURIComponent(path.slice(parent.length));
 
-  const transact: FrontHandler = async request =>
+  const transact: RouteHandler = async request =>
     writeAnswer(
       await table.transact(request.json() as TableTransaction, CALL_TIMEOUT_MS),
     );
 
-  const read: FrontHandler = async request => {
+  const read: RouteHandler = async request => {
     const {keys} = request.json() as {keys: readonly string[]};
     const outcome = await table.read(keys, CALL_TIMEOUT_MS);
     return readAnswer(outcome, rows => ({status: 200, body: {rows}}));
   };
 
-  const scan: FrontHandler = async request => {
+  const scan: RouteHandler = async request => {
     const {prefix, afterKey, limit} = request.json() as {
       prefix: string;
       afterKey?: string;
@@ -71,14 +71,14 @@
     return readAnswer(outcome, rows => ({status: 200, body: {rows}}));
   };
 
-  const putObject: FrontHandler = async request => {
+  const putObject: RouteHandler = async request => {
     const key = keyOf(request.path, OBJECTS);
     const outcome = await objects.put(key, request.body, CALL_TIMEOUT_MS);
     const status = outcome === 'stored' ? 200 : 503;
     return {status, body: {outcome}};
   };
 
-  const getObject: FrontHandler = async request => {
+  const getObject: RouteHandler = async request => {
     const key = keyOf(request.path, OBJECTS);
     const outcome = await objects.get(key, CALL_TIMEOUT_MS);
     return readAnswer(outcome, body =>
@@ -86,30 +86,30 @@
     );
   };
 
-  const removeObject: FrontHandler = async request => {
+  const removeObject: RouteHandler = async request => {
     await objects.remove(keyOf(request.path, OBJECTS), CALL_TIMEOUT_MS);
     return {status: 200, body: {}};
   };
 
-  const listHosts: FrontHandler = async () => {
+  const listHosts: RouteHandler = async () => {
     const outcome = await hosts.list(CALL_TIMEOUT_MS);
     return readAnswer(outcome, list => ({status: 200, body: {hosts: list}}));
   };
 
-  const putHost: FrontHandler = async request => {
+  const putHost: RouteHandler = async request => {
     const host = request.json() as ListedHost;
     listed.set(keyOf(request.path, HOSTS), host);
     core.setHosts([...listed.values()]);
     return {status: 200, body: {}};
   };
 
-  const removeHost: FrontHandler = async request => {
+  const removeHost: RouteHandler = async request => {
     listed.delete(keyOf(request.path, HOSTS));
     core.setHosts([...listed.values()]);
     return {status: 200, body: {}};
   };
 
-  const putHosts: FrontHandler = async request => {
+  const putHosts: RouteHandler = async request => {
     const all = request.json() as {hosts: readonly ListedHost[]};
     listed.clear();
     for (const host of all.hosts) listed.set(host.hostId, host);
@@ -117,7 +117,7 @@
     return {status: 200, body: {}};
   };
 
-  const front: HttpFront = await createHttpFront({
+  const server: StandInServer = await createStandInServer({
     address,
     routes: {
       'POST /table/transact': transact,
@@ -131,11 +131,11 @@
       'PUT /hosts/*': putHost,
       'DELETE /hosts/*': removeHost,
       'GET /books': async () => ({status: 200, body: core.books()}),
-      'PUT /faults': createFaultHandler(core, () => front),
+      'PUT /faults': createFaultHandler(core, () => server),
     },
   });
   core.gate.onBreak(what => {
-    if (what === 'crash') void front.close();
+    if (what === 'crash') void server.close();
   });
-  return front;
+  return server;
 }
--- a/stand_ins/prefill_pool.ts
+++ b/stand_ins/prefill_pool.ts
@@ -1,6 +1,6 @@
 /**
- * Prefill half of a stand-in engine: computes one prompt at a time, the most
- * urgent first, and keeps each result for under a second.
+ * Prefill stage of a stand-in engine: computes one prompt at a time in order of
+ * priority, and keeps each result for `prefillLifeMs` (under a second).
  */
 
 import type {Clock, TimerHandle} from '../src/ports/clock.js';
@@ -13,7 +13,7 @@
 } from '../src/ports/engine.js';
 import type {Random} from '../src/ports/random.js';
 import {hashPrompt} from './answer_text.js';
-import type {RunningBooks} from './engine_books.js';
+import type {EngineCounters} from './engine_counters.js';
 import {
   failure,
   isSameOwner,
@@ -25,12 +25,12 @@
 export interface PrefillHost {
   readonly clock: Clock;
   readonly random: Random;
-  readonly books: RunningBooks;
+  readonly counters: EngineCounters;
   readonly cache: PrefixCache;
-  /** Runs `action` at once or when a freeze ends. */
+  /** Runs `action` at once, or at the end of a freeze. */
   whenThawed(action: () => void): void;
   slowFactor(): number;
-  /** A prompt that crashes engines is being computed. */
+  /** Called when a prompt that crashes engines is computed. */
   crash(): void;
 }
 
@@ -43,7 +43,7 @@
   cancel(owner: OwnerTag): void;
   sessions(): readonly EngineSession[];
   queuedTokens(): number;
-  /** The engine died: everything is gone. */
+  /** Drops all jobs and results, as a crash does. */
   clear(): void;
 }
 
@@ -54,7 +54,7 @@
   isCancelled: boolean;
 }
 
-interface HeldResult {
+interface KeptResult {
   readonly call: PrefillCall;
   readonly kvSizeBytes: number;
   readonly madeAtMs: number;
@@ -62,26 +62,26 @@
   timer: TimerHandle;
 }
 
-const STALL_CHECK_MS = 50;
+const STALL_POLL_MS = 50;
 
 export function createPrefillPool(
   host: PrefillHost,
   options: EngineOptions,
 ): PrefillPool {
-  const {clock, books, cache} = host;
+  const {clock, counters, cache} = host;
   let waiting: Job[] = [];
   let active: Job | undefined;
-  const held = new Map<string, HeldResult>();
+  const keptResults = new Map<string, KeptResult>();
   let linkFreeAtMs = 0;
-  let generation = 0;
+  let epoch = 0;
 
-  function hasMarker(call: PrefillCall): boolean {
+  function hasCrashMarker(call: PrefillCall): boolean {
     return options.crashOnTokens.some(token =>
       call.promptTokens.includes(token),
     );
   }
 
-  function next(): void {
+  function startNextJob(): void {
     if (active || waiting.length === 0) return;
     const best = waiting.reduce((a, b) =>
       b.call.priority > a.call.priority ? b : a,
@@ -92,49 +92,45 @@
   }
 
   function compute(job: Job): void {
-    const born = generation;
+    const startEpoch = epoch;
     const tokenCount = job.call.promptTokens.length;
     const cachedTokens = cache.lookUp(job.call.promptTokens);
     const computed = tokenCount - cachedTokens;
     const costMs =
       (options.prefillBaseMs + computed * options.prefillMsPerToken) *
       host.slowFactor();
-    books.prefillStarted(job.call.owner);
+    counters.prefillStarted(job.call.owner);
     clock.setTimer(costMs, () =>
       host.whenThawed(() => {
-        if (born !== generation) return;
-        if (options.crashAt === 'prefill' && hasMarker(job.call)) {
+        if (startEpoch !== epoch) return;
+        if (options.crashAt === 'prefill' && hasCrashMarker(job.call)) {
           host.crash();
           return;
         }
         active = undefined;
-        computedWhole(job, computed, cachedTokens);
-        next();
+        completeJob(job, computed, cachedTokens);
+        startNextJob();
       }),
     );
   }
 
-  function computedWhole(
-    job: Job,
-    computed: number,
-    cachedTokens: number,
-  ): void {
-    books.prefillFinished(job.call.owner, computed, cachedTokens);
+  function completeJob(job: Job, computed: number, cachedTokens: number): void {
+    counters.prefillFinished(job.call.owner, computed, cachedTokens);
     cache.store(job.call.promptTokens);
     if (job.isCancelled) {
-      books.freeKv(job.kvSizeBytes);
-      books.prefillWasted(job.call.promptTokens.length);
+      counters.freeKv(job.kvSizeBytes);
+      counters.prefillWasted(job.call.promptTokens.length);
       job.finish(failure('cancelled', 'cancelled while it was computed'));
       return;
     }
     const kvHandle = host.random.nextId();
-    held.set(kvHandle, {
+    keptResults.set(kvHandle, {
       call: job.call,
       kvSizeBytes: job.kvSizeBytes,
       madeAtMs: clock.nowMs(),
       isExporting: false,
       timer: clock.setTimer(options.prefillLifeMs, () => {
-        if (!held.get(kvHandle)?.isExporting) drop(kvHandle, true);
+        if (!keptResults.get(kvHandle)?.isExporting) release(kvHandle, true);
       }),
     });
     job.finish({
@@ -146,24 +142,24 @@
     });
   }
 
-  function drop(kvHandle: string, isWasted: boolean): void {
-    const result = held.get(kvHandle);
+  function release(kvHandle: string, isWasted: boolean): void {
+    const result = keptResults.get(kvHandle);
     if (!result) return;
-    held.delete(kvHandle);
+    keptResults.delete(kvHandle);
     clock.clearTimer(result.timer);
-    books.freeKv(result.kvSizeBytes);
-    if (isWasted) books.prefillWasted(result.call.promptTokens.length);
+    counters.freeKv(result.kvSizeBytes);
+    if (isWasted) counters.prefillWasted(result.call.promptTokens.length);
   }
 
-  function transfer(kvHandle: string, result: HeldResult): KvExport {
-    drop(kvHandle, false);
+  function completeTransfer(kvHandle: string, result: KeptResult): KvExport {
+    release(kvHandle, false);
     const {call} = result;
     return {
       kind: 'exported',
       model: call.model,
       promptHash: hashPrompt(call.promptTokens),
       promptTokenCount: call.promptTokens.length,
-      hasDecodeMarker: options.crashAt === 'decode' && hasMarker(call),
+      hasDecodeMarker: options.crashAt === 'decode' && hasCrashMarker(call),
       kvSizeBytes: result.kvSizeBytes,
     };
   }
@@ -171,56 +167,56 @@
   return {
     run(call) {
       const kvSizeBytes = call.promptTokens.length * options.kvBytesPerToken;
-      if (!books.takeKv(kvSizeBytes)) {
+      if (!counters.reserveKv(kvSizeBytes)) {
         const full = failure('no-capacity', 'no KV memory for the prompt');
         return Promise.resolve(full);
       }
       return new Promise(finish => {
         waiting.push({call, kvSizeBytes, finish, isCancelled: false});
-        next();
+        startNextJob();
       });
     },
     exportKv(kvHandle, isStalled) {
-      const result = held.get(kvHandle);
+      const result = keptResults.get(kvHandle);
       if (!result || result.isExporting) {
         return Promise.resolve(failure('expired', 'no such prefill result'));
       }
-      const born = generation;
+      const startEpoch = epoch;
       result.isExporting = true;
       const startAtMs = Math.max(clock.nowMs(), linkFreeAtMs);
       linkFreeAtMs = startAtMs + result.kvSizeBytes / options.linkBytesPerMs;
       return new Promise(resolve => {
-        function arrive(): void {
-          if (born !== generation) return;
-          if (!held.has(kvHandle)) {
+        function finishTransfer(): void {
+          if (startEpoch !== epoch) return;
+          if (!keptResults.has(kvHandle)) {
             resolve(failure('expired', 'the prefill result was released'));
           } else if (isStalled()) {
-            clock.setTimer(STALL_CHECK_MS, arrive);
+            clock.setTimer(STALL_POLL_MS, finishTransfer);
           } else {
-            resolve(transfer(kvHandle, result!));
+            resolve(completeTransfer(kvHandle, result!));
           }
         }
         clock.setTimer(linkFreeAtMs - clock.nowMs(), () =>
-          host.whenThawed(arrive),
+          host.whenThawed(finishTransfer),
         );
       });
     },
     cancel(owner) {
       for (const job of waiting.filter(j => isSameOwner(j.call.owner, owner))) {
         waiting = waiting.filter(other => other !== job);
-        books.freeKv(job.kvSizeBytes);
+        counters.freeKv(job.kvSizeBytes);
         job.finish(failure('cancelled', 'cancelled before it was computed'));
       }
       if (active && isSameOwner(active.call.owner, owner)) {
         active.isCancelled = true;
       }
-      for (const [kvHandle, result] of held) {
-        if (isSameOwner(result.call.owner, owner)) drop(kvHandle, true);
+      for (const [kvHandle, result] of keptResults) {
+        if (isSameOwner(result.call.owner, owner)) release(kvHandle, true);
       }
     },
     sessions() {
       const nowMs = clock.nowMs();
-      const results = [...held.values()].map(
+      const results = [...keptResults.values()].map(
         ({call, kvSizeBytes, madeAtMs}): EngineSession => ({
           owner: call.owner,
           kind: 'prefill-result',
@@ -243,14 +239,14 @@
         0,
       ),
     clear() {
-      generation++;
+      epoch++;
       waiting = [];
       active = undefined;
-      for (const result of held.values()) clock.clearTimer(result.timer);
-      for (const result of held.values()) {
-        books.prefillWasted(result.call.promptTokens.length);
+      for (const result of keptResults.values()) clock.clearTimer(result.timer);
+      for (const result of keptResults.values()) {
+        counters.prefillWasted(result.call.promptTokens.length);
       }
-      held.clear();
+      keptResults.clear();
       linkFreeAtMs = 0;
     },
   };
--- a/stand_ins/prefix_cache.ts
+++ b/stand_ins/prefix_cache.ts
@@ -1,4 +1,4 @@
-/** Prefix cache of a stand-in engine, with its late and incomplete events. */
+/** Prefix cache of a stand-in engine, whose events may be late or lost. */
 
 import {BLOCK_TOKENS, hashPrefixes} from '../src/core/prompt_tokens.js';
 import type {Clock} from '../src/ports/clock.js';
@@ -18,19 +18,22 @@
 }
 
 export interface CacheEventFaults {
-  /** How late events become readable. */
+  /** Delay until an event is readable. */
   readonly lagMs: number;
   /** Share of events that are never published. */
   readonly lostShare: number;
 }
 
-interface DatedEvent {
+interface PublishedEvent {
   readonly readableAtMs: number;
   readonly event: CacheEvent;
 }
 
 export interface PrefixCache {
-  /** Tokens of the prompt that need no computing; makes them recent. */
+  /**
+   * Returns the number of cached tokens and marks their blocks as recently
+   * used.
+   */
   lookUp(tokens: readonly number[]): number;
   store(tokens: readonly number[]): void;
   clear(): void;
@@ -42,9 +45,9 @@
   host: PrefixCacheHost,
   options: PrefixCacheOptions,
 ): PrefixCache {
-  /** In order of last use, oldest first. */
+  /** Least recently used first. */
   const blocks = new Set<string>();
-  const published: DatedEvent[] = [];
+  const published: PublishedEvent[] = [];
   let sequence = 0;
   let faults: CacheEventFaults = {lagMs: 0, lostShare: 0};
 
--- a/stand_ins/rate_limit.ts
+++ b/stand_ins/rate_limit.ts
@@ -1,9 +1,9 @@
-/** A token bucket that holds one second's worth. */
+/** A token bucket whose capacity is the tokens of one second. */
 
 import type {Clock} from '../src/ports/clock.js';
 
 export interface RateLimit {
-  /** False when nothing is left. */
+  /** Returns false when no token is left. */
   take(): boolean;
 }
 
@@ -13,16 +13,16 @@
   clock: Clock,
   ratePerSecond: number,
 ): RateLimit {
-  let left = ratePerSecond;
-  let filledAtMs = clock.nowMs();
+  let tokensLeft = ratePerSecond;
+  let refilledAtMs = clock.nowMs();
   return {
     take() {
       const nowMs = clock.nowMs();
-      const gained = ((nowMs - filledAtMs) * ratePerSecond) / MS_PER_SECOND;
-      left = Math.min(ratePerSecond, left + gained);
-      filledAtMs = nowMs;
-      if (left < 1) return false;
-      left--;
+      const gained = ((nowMs - refilledAtMs) * ratePerSecond) / MS_PER_SECOND;
+      tokensLeft = Math.min(ratePerSecond, tokensLeft + gained);
+      refilledAtMs = nowMs;
+      if (tokensLeft < 1) return false;
+      tokensLeft--;
       return true;
     },
   };
--- a/stand_ins/reset_socket.ts
+++ b/stand_ins/reset_socket.ts
@@ -1,14 +1,13 @@
-/** Resets connections, as a crash or a broken link does. */
+/** Resets connections, as a crash or a network fault does. */
 
 import type {Socket} from 'node:net';
 
 /**
- * Resets the connection, or just closes it where its end was already begun.
+ * Resets the connection, or destroys it if its shutdown has already begun.
  *
- * Guards against a process that never ends: Node refuses to reset a socket
- * whose shutdown is under way, takes it for closing all the same, and waits
- * for it in a busy loop when the process ends. It shows as a process at most
- * of a core whose work is done.
+ * Node doesn't reset a socket whose shutdown is in progress, but marks it as
+ * closing. The process then never exits: it waits for the socket in a busy
+ * loop, which shows as a finished process that uses most of a core.
  */
 export function resetSocket(socket: Socket): void {
   if (socket.writableEnded) socket.destroy();
--- a/stand_ins/service_core.ts
+++ b/stand_ins/service_core.ts
@@ -1,7 +1,7 @@
 /**
- * Stand-in for a plain service such as a ledger or a booking service. It
- * counts what it ran by request and by Idempotency-Key, and never itself
- * drops a repeat: what arrives twice runs twice.
+ * Stand-in for a plain service such as a ledger or a booking service. It counts
+ * its runs by request and by Idempotency-Key, and does no deduplication: a call
+ * that arrives twice runs twice.
  */
 
 import type {Clock} from '../src/ports/clock.js';
@@ -27,11 +27,11 @@
   readonly serviceId: string;
   /** Time to run one call. */
   readonly runMs: number;
-  /** One way, for calls in process. */
+  /** One-way latency of in-process calls. */
   readonly latencyMs: number;
-  /** Bodies that contain one of these crash the service when run. */
+  /** A call whose body contains one of these crashes the service. */
   readonly crashOnTexts: readonly string[];
-  /** A service that crashed comes back after this long; 0: it stays down. */
+  /** Time until a crashed service restarts; 0 leaves it down. */
   readonly restartMs: number;
 }
 
@@ -45,13 +45,13 @@
 
 export interface ServiceFaults {
   readonly slowFactor: number;
-  /** Answers are held back by a random time up to this. */
+  /** Each answer is delayed by a random time up to this. */
   readonly answerDelayMs: number;
-  /** Share of calls that run and whose answer is then lost. */
+  /** Share of calls that run but whose answer is lost. */
   readonly answerLostShare: number;
 }
 
-/** One call that ran. */
+/** A call that ran. */
 export interface ServiceRun {
   readonly idempotencyKey: string | undefined;
   readonly requestId: string;
@@ -66,11 +66,11 @@
   readonly isUp: boolean;
   readonly runCount: number;
   readonly runs: readonly ServiceRun[];
-  /** How often each Idempotency-Key was run. */
+  /** Number of runs for each Idempotency-Key. */
   readonly runsByKey: Readonly<Record<string, number>>;
   readonly runsByRequest: Readonly<Record<string, number>>;
   readonly crashes: number;
-  /** For each call refused since the service leaves: how long after. */
+  /** For each refused call, the time since the service began to leave. */
   readonly workAfterLeavingMs: readonly number[];
 }
 
@@ -150,12 +150,12 @@
   };
   let leavingSinceMs: number | undefined;
   let crashes = 0;
-  let generation = 0;
+  let epoch = 0;
 
   function crash(): void {
     if (!gate.isUp()) return;
     crashes++;
-    generation++;
+    epoch++;
     gate.crash();
     if (options.restartMs > 0) clock.setTimer(options.restartMs, restart);
   }
@@ -165,7 +165,7 @@
     leavingSinceMs = undefined;
   }
 
-  function note(call: PlainCall): ServiceRun {
+  function recordRun(call: PlainCall): ServiceRun {
     const run: ServiceRun = {
       idempotencyKey: headerOf(call, 'idempotency-key'),
       requestId: call.requestId,
@@ -205,23 +205,23 @@
     };
   }
 
-  /** The effect takes place at once; the answer comes after the run time. */
+  /** The effect takes place at once; the answer follows after the run time. */
   function execute(call: PlainCall): Promise<PlainAnswer> {
     if (leavingSinceMs !== undefined) {
       return Promise.resolve(leavingAnswer(leavingSinceMs));
     }
-    const run = note(call);
+    const run = recordRun(call);
     const text = new TextDecoder().decode(call.body);
     if (options.crashOnTexts.some(marker => text.includes(marker))) {
       crash();
       return NEVER;
     }
     if (random.nextFloat() < faults.answerLostShare) return NEVER;
-    const born = generation;
+    const startEpoch = epoch;
     return new Promise(resolve => {
       clock.setTimer(options.runMs * faults.slowFactor, () =>
         gate.whenThawed(() => {
-          if (born === generation) resolve(answerFor(call, run));
+          if (startEpoch === epoch) resolve(answerFor(call, run));
         }),
       );
     });
--- a/stand_ins/service_server.ts
+++ b/stand_ins/service_server.ts
@@ -1,11 +1,11 @@
-/** HTTP front of the stand-in plain service. */
+/** HTTP server of the stand-in plain service. */
 
 import {createFaultHandler} from './fault_routes.js';
 import {
-  createHttpFront,
-  type FrontHandler,
-  type HttpFront,
-} from './http_front.js';
+  createStandInServer,
+  type RouteHandler,
+  type StandInServer,
+} from './stand_in_server.js';
 import type {ServiceCore} from './service_core.js';
 
 const CALL_TIMEOUT_MS = Number.POSITIVE_INFINITY;
@@ -17,8 +17,8 @@
 export async function createServiceServer(
   core: ServiceCore,
   address: string,
-): Promise<HttpFront> {
-  const run: FrontHandler = async request => {
+): Promise<StandInServer> {
+  const run: RouteHandler = async request => {
     const headers = Object.fromEntries(
       Object.entries(request.headers).map(([name, value]) => [
         name,
@@ -43,7 +43,7 @@
     return outcome;
   };
 
-  const front: HttpFront = await createHttpFront({
+  const server: StandInServer = await createStandInServer({
     address,
     routes: {
       'GET /stand-in/alive': async () => {
@@ -51,12 +51,12 @@
         return {status: 200, body: {}};
       },
       'GET /stand-in/books': async () => ({status: 200, body: core.books()}),
-      'PUT /stand-in/faults': createFaultHandler(core, () => front),
+      'PUT /stand-in/faults': createFaultHandler(core, () => server),
     },
     fallback: run,
   });
   core.gate.onBreak(what => {
-    if (what === 'crash') void front.close();
+    if (what === 'crash') void server.close();
   });
-  return front;
+  return server;
 }
--- a/stand_ins/http_front.ts
+++ b/stand_ins/stand_in_server.ts
@@ -1,6 +1,6 @@
 /**
- * HTTP front shared by the stand-ins: routes, JSON bodies, and the two faults
- * that live in sockets: connections that go silent, and sudden death.
+ * HTTP server shared by the stand-ins: routes, JSON bodies, and two faults of
+ * sockets: silent connections, and a crash that closes them all.
  */
 
 import {
@@ -11,7 +11,7 @@
 } from 'node:http';
 import type {AddressInfo, Socket} from 'node:net';
 
-export interface FrontRequest {
+export interface ServerRequest {
   readonly method: string;
   readonly path: string;
   readonly query: URLSearchParams;
@@ -21,42 +21,45 @@
   json(): unknown;
 }
 
-export interface FrontAnswer {
+export interface ServerAnswer {
   readonly status: number;
   readonly headers?: Readonly<
     Record<string, string | readonly string[] | undefined>
   >;
-  /** Sent as it is when bytes, else as JSON. */
+  /** Bytes are sent unchanged, other values as JSON. */
   readonly body: unknown;
 }
 
-/** A response whose body is written bit by bit. */
-export interface FrontStream {
-  /** Writes are dropped once the connection is silent or closed. */
+/** A response whose body is written in chunks. */
+export interface ServerStream {
+  /** Drops the chunk if the connection is silent or closed. */
   write(chunk: string): void;
   onClose(handler: () => void): void;
 }
 
-export type FrontHandler = (
-  request: FrontRequest,
-  openStream: () => FrontStream,
-) => Promise<FrontAnswer | 'streaming'>;
+export type RouteHandler = (
+  request: ServerRequest,
+  openStream: () => ServerStream,
+) => Promise<ServerAnswer | 'streaming'>;
 
-export interface HttpFrontOptions {
+export interface StandInServerOptions {
   /** `ip:port`; port 0 picks a free one. */
   readonly address: string;
-  /** By `METHOD /path`; a path that ends in `/*` takes all below it. */
-  readonly routes: Readonly<Record<string, FrontHandler>>;
-  /** Takes what no route does. */
-  readonly fallback?: FrontHandler;
+  /**
+   * Keyed by `METHOD /path`; a path that ends in `/*` matches all paths below
+   * it.
+   */
+  readonly routes: Readonly<Record<string, RouteHandler>>;
+  /** Handles requests that match no route. */
+  readonly fallback?: RouteHandler;
 }
 
-export interface HttpFront {
-  /** `ip:port` that is listened on. */
+export interface StandInServer {
+  /** `ip:port` that the server listens on. */
   readonly address: string;
-  /** Open connections stop answering for good; new ones work. */
+  /** Silences the open connections permanently; new ones work. */
   silenceConnections(): void;
-  /** Breaks every connection and stops listening. */
+  /** Destroys every connection and stops listening. */
   close(): Promise<void>;
 }
 
@@ -68,7 +71,10 @@
   return Buffer.concat(chunks);
 }
 
-function toFrontRequest(message: IncomingMessage, body: Buffer): FrontRequest {
+function toServerRequest(
+  message: IncomingMessage,
+  body: Buffer,
+): ServerRequest {
   const url = new URL(message.url ?? '/', 'http://stand-in');
   return {
     method: message.method ?? 'GET',
@@ -80,23 +86,23 @@
   };
 }
 
-export async function createHttpFront(
-  options: HttpFrontOptions,
-): Promise<HttpFront> {
+export async function createStandInServer(
+  options: StandInServerOptions,
+): Promise<StandInServer> {
   const sockets = new Set<Socket>();
-  const silent = new WeakSet<Socket>();
+  const silentSockets = new WeakSet<Socket>();
 
-  function handlerFor(request: FrontRequest): FrontHandler | undefined {
+  function handlerFor(request: ServerRequest): RouteHandler | undefined {
     const exact = options.routes[`${request.method} ${request.path}`];
     if (exact) return exact;
     const parent = request.path.slice(0, request.path.indexOf('/', 1) + 1);
-    const below = options.routes[`${request.method} ${parent}*`];
-    return below ?? options.fallback;
+    const prefixHandler = options.routes[`${request.method} ${parent}*`];
+    return prefixHandler ?? options.fallback;
   }
 
-  function send(response: ServerResponse, answer: FrontAnswer): void {
+  function send(response: ServerResponse, answer: ServerAnswer): void {
     const socket = response.socket;
-    if (!socket || silent.has(socket) || response.destroyed) return;
+    if (!socket || silentSockets.has(socket) || response.destroyed) return;
     const isBytes = answer.body instanceof Uint8Array;
     const body = isBytes
       ? (answer.body as Uint8Array)
@@ -109,13 +115,13 @@
     response.end(body);
   }
 
-  function openStream(response: ServerResponse): FrontStream {
+  function openStream(response: ServerResponse): ServerStream {
     response.writeHead(200, {'content-type': 'application/x-ndjson'});
     response.flushHeaders();
     return {
       write(chunk) {
         const socket = response.socket;
-        if (socket && !silent.has(socket)) response.write(chunk);
+        if (socket && !silentSockets.has(socket)) response.write(chunk);
       },
       onClose: handler => void response.on('close', handler),
     };
@@ -125,8 +131,8 @@
     message: IncomingMessage,
     response: ServerResponse,
   ): Promise<void> {
-    const request = toFrontRequest(message, await readBody(message));
-    if (silent.has(message.socket)) return;
+    const request = toServerRequest(message, await readBody(message));
+    if (silentSockets.has(message.socket)) return;
     const handler = handlerFor(request);
     if (!handler) {
       send(response, {status: 404, body: {error: 'no such path'}});
@@ -154,7 +160,7 @@
   return {
     address,
     silenceConnections() {
-      for (const socket of sockets) silent.add(socket);
+      for (const socket of sockets) silentSockets.add(socket);
     },
     close() {
       for (const socket of sockets) socket.destroy();
--- a/stand_ins/table_store.ts
+++ b/stand_ins/table_store.ts
@@ -1,4 +1,4 @@
-/** Rows of the stand-in platform's table, and how a transaction applies. */
+/** Rows of the stand-in platform's table, and the transactions on them. */
 
 import {assertNever} from '../src/core/assert_never.js';
 import type {
@@ -8,7 +8,7 @@
   WriteOutcome,
 } from '../src/ports/table.js';
 
-/** One write as it took effect, for observers. */
+/** A decided transaction, read by tests and observers. */
 export interface LoggedTransaction {
   readonly atMs: number;
   readonly attemptId: string;
@@ -27,7 +27,7 @@
   const rows = new Map<string, TableRow>();
   let sortedKeys: readonly string[] | undefined;
 
-  function holds(condition: TableCondition): boolean {
+  function isMet(condition: TableCondition): boolean {
     const row = rows.get(condition.key);
     switch (condition.kind) {
       case 'absent':
@@ -61,16 +61,16 @@
         .map(key => rows.get(key)!),
     apply(transaction) {
       const failedKeys = transaction.conditions
-        .filter(condition => !holds(condition))
+        .filter(condition => !isMet(condition))
         .map(condition => condition.key);
       if (failedKeys.length > 0) return {kind: 'rejected', failedKeys};
       for (const write of transaction.writes) {
-        const known = rows.get(write.key);
-        if (!known || write.kind === 'delete') sortedKeys = undefined;
+        const existing = rows.get(write.key);
+        if (!existing || write.kind === 'delete') sortedKeys = undefined;
         if (write.kind === 'delete') {
           rows.delete(write.key);
         } else {
-          const version = (known?.version ?? 0) + 1;
+          const version = (existing?.version ?? 0) + 1;
           rows.set(write.key, {key: write.key, version, value: write.value});
         }
       }
--- a/stand_ins/users_platform/engine_stand_in.ts
+++ b/stand_ins/users_platform/engine_stand_in.ts
@@ -1,7 +1,7 @@
 /**
  * Stand-in for an engine or a plain service of the users' platform, over real
- * sockets. It keeps a list of what it ran, so that tests see what a caller
- * cannot: what ran twice, and what ran for a caller that had left.
+ * sockets. It records its runs, so that tests see what no caller can: requests
+ * that ran twice, and runs whose caller had disconnected.
  */
 
 import http from 'node:http';
@@ -9,12 +9,12 @@
 import {performance} from 'node:perf_hooks';
 import {resetSocket} from '../reset_socket.js';
 
-/** What the upstream does with the next requests. */
+/** How the upstream handles the following requests. */
 export type EngineBehaviour =
   | 'answer'
-  /** Its own failure, signed. */
+  /** Answers with status 500 and its signature. */
   | 'fail'
-  /** Refuses truthfully. */
+  /** Refuses with status 503, without running the request. */
   | 'full'
   /** Runs the request and resets the connection. */
   | 'lose-answer'
@@ -32,15 +32,18 @@
   readonly target: string;
   readonly body: string;
   readonly stage: 'whole' | 'prefill' | 'decode';
-  /** When it began, on the steady clock of this process. */
+  /** On the monotonic clock of this process. */
   readonly startedAtMs: number;
-  /** The caller's connection closed before the end. */
+  /** The caller's connection closed before the end of the answer. */
   wasLeft: boolean;
-  /** When it was left, on the same clock. */
+  /** When that connection closed, on the same clock. */
   leftAtMs?: number;
 }
 
-/** A request that reached it, on the steady clock of this process. */
+/**
+ * A request that reached the upstream; the time is on the monotonic clock of
+ * this process.
+ */
 export interface EngineArrival {
   readonly requestId: string;
   readonly atMs: number;
@@ -57,30 +60,33 @@
 export interface EngineStandIn {
   readonly id: string;
   readonly address: string;
-  /** The value of its row in the store. */
+  /** Returns the value of the upstream's row in the store. */
   row(state?: 'ready' | 'draining'): object;
   readonly runs: EngineRun[];
-  /** Each request for it, those that it refused among them. */
+  /** All requests that arrived, including refused ones. */
   readonly arrivals: readonly EngineArrival[];
-  /** Requests that it refused. */
+  /** Number of refused requests. */
   refusalCount(): number;
-  /** Prefill results that it keeps; those that a decode engine took, too. */
+  /**
+   * Number of prefill results not yet deleted, including those already used for
+   * a decode.
+   */
   heldResults(): number;
-  /** Orders that it took, in order. */
+  /** Accepted orders, oldest first. */
   readonly orders: ReadonlyArray<{
     readonly stage: string;
     readonly fence: number;
   }>;
   setBehaviour(behaviour: EngineBehaviour): void;
-  /** Names the limit in all answers; undefined: in none. */
+  /** Sets the rate limit sent with every answer; undefined sends none. */
   setLimit(perS: number | undefined): void;
-  /** Says in all answers that it leaves. */
+  /** Announces in every answer that the upstream is leaving. */
   setLeaving(): void;
-  /** Asks for so much rest in each refusal for lack of room. */
+  /** Sets the `Retry-After` of 503 answers; undefined sends none. */
   setRest(seconds: number | undefined): void;
-  /** After this many events of a stream the engine crashes. */
+  /** Makes the engine crash after this many events of a stream. */
   crashAfterEvents(count: number): void;
-  /** After this many events a stream says nothing more, and stays open. */
+  /** Makes a stream stall, but stay open, after this many events. */
   stallAfterEvents(count: number): void;
   crash(): void;
   close(): void;
@@ -103,18 +109,18 @@
   let crashAfter = Number.POSITIVE_INFINITY;
   let stallAfter = Number.POSITIVE_INFINITY;
   let highestFence = 0;
-  let heartbeat = 0;
+  let heartbeatCount = 0;
   let refusals = 0;
   let limitPerS: number | undefined;
   let isLeaving = false;
-  let restSeconds: number | undefined;
+  let retryAfterSeconds: number | undefined;
 
   function crash(): void {
     server.close();
     for (const socket of sockets) resetSocket(socket);
   }
 
-  function note(
+  function recordRun(
     message: http.IncomingMessage,
     body: string,
     stage: EngineRun['stage'],
@@ -133,13 +139,15 @@
     return run;
   }
 
-  function noteLeft(run: EngineRun): void {
+  function markDisconnected(run: EngineRun): void {
     run.wasLeft = true;
     run.leftAtMs ??= performance.now();
   }
 
-  /** What it says of itself in every answer. */
-  function signals(): Record<string, string> {
+  /**
+   * Headers sent with every answer: the rate limit, and whether it is leaving.
+   */
+  function statusHeaders(): Record<string, string> {
     return {
       ...(limitPerS === undefined ? {} : {'Server-Limit': String(limitPerS)}),
       ...(isLeaving ? {'Server-Leaving': '1'} : {}),
@@ -149,7 +157,7 @@
   function headersFor(run: EngineRun): Record<string, string> {
     const requestId = behaviour === 'wrong-id' ? 'another' : run.requestId;
     return {
-      ...signals(),
+      ...statusHeaders(),
       'X-Request-Id': requestId,
       ...(behaviour === 'unsigned' ? {} : {[SIGNATURE]: `signed-by-${id}`}),
     };
@@ -161,10 +169,10 @@
     status: number,
   ): void {
     refusals++;
-    const isResting = status === 503 && restSeconds !== undefined;
+    const hasRetryAfter = status === 503 && retryAfterSeconds !== undefined;
     response.writeHead(status, {
-      ...signals(),
-      ...(isResting ? {'Retry-After': String(restSeconds)} : {}),
+      ...statusHeaders(),
+      ...(hasRetryAfter ? {'Retry-After': String(retryAfterSeconds)} : {}),
       'X-Request-Id': String(message.headers['x-request-id']),
       'X-Not-Run': '1',
       'X-Instance-Id': id,
@@ -178,20 +186,20 @@
       'Content-Type': 'text/event-stream',
     });
     let next = Number(run.headers['last-event-id'] ?? '0') + 1;
-    let made = 0;
+    let sentCount = 0;
     const timer = setInterval(() => {
-      if (made >= stallAfter) {
+      if (sentCount >= stallAfter) {
         clearInterval(timer);
         return;
       }
-      if (made >= crashAfter) {
+      if (sentCount >= crashAfter) {
         clearInterval(timer);
         response.write(`id: ${next}\ndata: to`, crash);
         return;
       }
       response.write(`id: ${next}\ndata: token-${next}\n\n`);
-      made++;
-      // A caller may resume after the last event, with nothing left to send.
+      sentCount++;
+      // A caller may resume after the last event, when nothing is left to send.
       if (next >= eventCount) {
         clearInterval(timer);
         response.end();
@@ -200,7 +208,7 @@
     }, eventEveryMs);
     response.on('close', () => {
       clearInterval(timer);
-      if (!response.writableFinished) noteLeft(run);
+      if (!response.writableFinished) markDisconnected(run);
     });
   }
 
@@ -218,16 +226,16 @@
     if (behaviour === 'full') return refuse(message, response, 503);
     const source = message.headers['x-kv-source'];
     if (message.headers['x-stage'] === 'prefill') {
-      const run = note(message, body, 'prefill');
+      const run = recordRun(message, body, 'prefill');
       const handle = `h${runs.length}`;
       handles.add(handle);
       response.writeHead(200, headersFor(run));
       response.end(JSON.stringify({kv_handle: handle, tokens: 1, version: 1}));
       return;
     }
-    const run = note(message, body, source ? 'decode' : 'whole');
+    const run = recordRun(message, body, source ? 'decode' : 'whole');
     response.on('close', () => {
-      if (!response.writableFinished) noteLeft(run);
+      if (!response.writableFinished) markDisconnected(run);
     });
     switch (behaviour) {
       case 'hang':
@@ -312,7 +320,7 @@
       slots: 8,
       state,
       stage: role,
-      seq: ++heartbeat,
+      seq: ++heartbeatCount,
     }),
     setBehaviour(next) {
       behaviour = next;
@@ -324,7 +332,7 @@
       isLeaving = true;
     },
     setRest(seconds) {
-      restSeconds = seconds;
+      retryAfterSeconds = seconds;
     },
     crashAfterEvents(count) {
       crashAfter = count;
--- a/stand_ins/users_platform/store_stand_in.ts
+++ b/stand_ins/users_platform/store_stand_in.ts
@@ -1,6 +1,6 @@
 /**
- * Stand-in for the users' platform store over real sockets: rows of tables,
- * a feed of changes, transactions under conditions, and its outages.
+ * Stand-in for the store of the users' platform, over real sockets: rows of
+ * tables, a change feed, conditional transactions, and outages.
  */
 
 import http from 'node:http';
@@ -15,17 +15,17 @@
   readonly deleted?: boolean;
 }
 
-/** How the store treats calls. */
+/** How the store handles calls. */
 export type StoreMode =
   | 'serving'
   /** Refuses with 503. */
   | 'busy'
-  /** Takes calls and never answers. */
+  /** Accepts calls and never answers. */
   | 'silent'
-  /** Carries writes out and loses the answers. */
+  /** Applies writes but loses the answers. */
   | 'answers-lost';
 
-/** All that the store had acknowledged at one moment. */
+/** A copy of all acknowledged state at one moment. */
 export interface StoreCopy {
   readonly rows: readonly Row[];
   readonly history: readonly Row[];
@@ -35,24 +35,27 @@
 export interface StoreStandIn {
   /** `ip:port`. */
   readonly address: string;
-  /** Writes a row as the operator or an upstream would; the new version. */
+  /**
+   * Writes a row as an operator or an upstream does, and returns the new
+   * version.
+   */
   put(table: string, key: string, value: unknown): number;
   remove(table: string, key: string): void;
   get(table: string, key: string): unknown;
   setMode(mode: StoreMode): void;
   copy(): StoreCopy;
   /**
-   * Comes back from an older copy: what was written since is gone, its
-   * versions are given out again, and an era begins.
+   * Restores an older copy: later writes are lost, their version numbers are
+   * assigned again, and the era increases.
    */
   restore(copy: StoreCopy): void;
-  /** Drops the history that feeds resume from. */
+  /** Drops the history of changes, from which feeds resume. */
   dropHistory(): void;
   callCount(): number;
   close(): void;
 }
 
-interface Waiter {
+interface PendingFeed {
   readonly table: string;
   readonly after: number;
   readonly answer: () => void;
@@ -66,9 +69,9 @@
   let version = 1;
   let historyFrom = 0;
   let mode: StoreMode = 'serving';
-  let calls = 0;
+  let callTotal = 0;
   let era = 0;
-  let waiters: Waiter[] = [];
+  let pendingFeeds: PendingFeed[] = [];
 
   const idOf = (table: string, key: string) => `${table}\u0000${key}`;
 
@@ -78,10 +81,10 @@
     history.push(row);
   }
 
-  function wake(): void {
-    const due = waiters;
-    waiters = [];
-    for (const waiter of due) waiter.answer();
+  function answerPendingFeeds(): void {
+    const feeds = pendingFeeds;
+    pendingFeeds = [];
+    for (const feed of feeds) feed.answer();
   }
 
   function page(found: readonly Row[]): object {
@@ -107,25 +110,25 @@
     if (changed().length > 0) return send(response, 200, page(changed()));
     const timer = setTimeout(
       () => {
-        // Else each write looks at all feeds that ever waited in vain.
-        waiters = waiters.filter(each => each !== waiter);
+        // Otherwise each write would check all feeds that ever timed out.
+        pendingFeeds = pendingFeeds.filter(each => each !== pendingFeed);
         send(response, 200, page(changed()));
       },
       Number(query.get('wait_ms')),
     );
-    const waiter: Waiter = {
+    const pendingFeed: PendingFeed = {
       table,
       after,
       answer() {
         if (changed().length === 0) {
-          waiters.push(waiter);
+          pendingFeeds.push(pendingFeed);
           return;
         }
         clearTimeout(timer);
         send(response, 200, page(changed()));
       },
     };
-    waiters.push(waiter);
+    pendingFeeds.push(pendingFeed);
   }
 
   function transact(body: string): {status: number; body: object} {
@@ -143,7 +146,7 @@
     for (const row of call.delete) {
       write({...row, ver: version, deleted: true});
     }
-    wake();
+    answerPendingFeeds();
     return {status: 200, body: {ver: version, now_ms: Date.now()}};
   }
 
@@ -152,7 +155,7 @@
     body: string,
     response: http.ServerResponse,
   ): void {
-    calls++;
+    callTotal++;
     response.setHeader('Store-Era', era);
     if (mode === 'silent') return;
     if (mode === 'busy') return send(response, 503, {});
@@ -187,12 +190,12 @@
     put(table, key, value) {
       const text = Buffer.from(JSON.stringify(value)).toString('base64');
       write({table, part: '', key, value: text, ver: ++version});
-      wake();
+      answerPendingFeeds();
       return version;
     },
     remove(table, key) {
       write({table, part: '', key, ver: ++version, deleted: true});
-      wake();
+      answerPendingFeeds();
     },
     get(table, key) {
       const row = rows.get(idOf(table, key));
@@ -213,15 +216,15 @@
       history = [...copy.history];
       version = copy.version;
       era++;
-      // A store that was away has no open calls.
-      waiters = [];
+      // A store has no open calls after an outage.
+      pendingFeeds = [];
       server.closeAllConnections();
     },
     dropHistory() {
       history = [];
       historyFrom = version + 1;
     },
-    callCount: () => calls,
+    callCount: () => callTotal,
     close() {
       server.close();
       server.closeAllConnections();
--- a/tests/stand_ins/adapters_test.ts
+++ b/tests/stand_ins/adapters_test.ts
@@ -1,4 +1,4 @@
-/** The adapters against the stand-ins' HTTP fronts, over loopback. */
+/** Tests of the adapters against the stand-ins' HTTP servers, over loopback. */
 
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
@@ -40,17 +40,17 @@
     role: 'prefill',
   });
   const decodeCore = createEngineCore(engineHost, {...common, role: 'decode'});
-  const prefillFront = await createEngineServer(prefillCore, '127.0.0.1:0');
-  const decodeFront = await createEngineServer(decodeCore, '127.0.0.1:0');
+  const prefillServer = await createEngineServer(prefillCore, '127.0.0.1:0');
+  const decodeServer = await createEngineServer(decodeCore, '127.0.0.1:0');
   const factory = createHttpEngineFactory(host, {streamSilenceMs: 400});
   return {
     prefillCore,
     decodeCore,
-    prefillFront,
-    decodeFront,
-    prefill: factory(prefillFront.address),
-    decode: factory(decodeFront.address),
-    close: () => Promise.all([prefillFront.close(), decodeFront.close()]),
+    prefillServer,
+    decodeServer,
+    prefill: factory(prefillServer.address),
+    decode: factory(decodeServer.address),
+    close: () => Promise.all([prefillServer.close(), decodeServer.close()]),
   };
 }
 
@@ -67,7 +67,7 @@
   if (made.kind === 'failed') throw new Error(made.detail);
   const imported = await engines.decode.importKv({
     owner,
-    fromAddress: engines.prefillFront.address,
+    fromAddress: engines.prefillServer.address,
     kvHandle: made.kvHandle,
     kvSizeBytes: made.kvSizeBytes,
     timeoutMs: LONG_MS,
@@ -93,7 +93,7 @@
   });
 }
 
-test('prefill, import and decode over HTTP give the whole expected answer', async () => {
+test('prefill, import and decode over HTTP return the complete expected answer', async () => {
   const engines = await startEngines({answerTokens: 30});
   const events = await decodeWhole(engines.decode, await importPrompt(engines));
   const answer = expectAnswer(PROMPT, 30);
@@ -111,22 +111,22 @@
 });
 
 test('a decode stream that goes silent is cut, and the next one works', async () => {
-  // Between two tokens the network forgets the connection. No error shows on
-  // the socket; only the heartbeats stop. The engine decodes on and holds its
+  // The network drops the connection between two tokens. The socket reports no
+  // error; only the heartbeats stop. The engine keeps decoding and keeps its
   // memory until the owner cancels over a new connection.
   const engines = await startEngines({answerTokens: 9_999, stepMs: 5});
   const sessionId = await importPrompt(engines);
   let tokens = 0;
   const events = await decodeWhole(engines.decode, sessionId, event => {
     if (event.kind === 'tokens' && ++tokens === 3) {
-      engines.decodeFront.silenceConnections();
+      engines.decodeServer.silenceConnections();
     }
   });
   const last = events.at(-1);
   assert.equal(last?.kind === 'cut' && last.failure.reason, 'broken');
   assert.equal(engines.decodeCore.books().sessions.length, 1);
   assert.equal(await engines.decode.probe(LONG_MS), 'alive');
-  // The pooled connection of the control calls is silent too: one call fails.
+  // The pooled connection of control calls is silent too, so one call fails.
   const first = await engines.decode.cancel(owner, SHORT_MS);
   assert.equal(typeof first !== 'string' && first.reason, 'timeout');
   assert.equal(await engines.decode.cancel(owner, LONG_MS), 'released');
@@ -134,7 +134,7 @@
   await engines.close();
 });
 
-test('a crash cuts the stream, and later calls find nobody', async () => {
+test('a crash cuts the stream, and later calls are unreachable', async () => {
   const engines = await startEngines({answerTokens: 9_999});
   const sessionId = await importPrompt(engines);
   const events = await decodeWhole(engines.decode, sessionId, event => {
@@ -146,10 +146,10 @@
   await engines.close();
 });
 
-test('the platform over HTTP: applied, rejected, refused and unknown', async () => {
+test('platform writes over HTTP are applied, rejected, refused or unknown', async () => {
   const core = createPlatformCore(host, {hostListLagMs: 0});
-  const front = await createPlatformServer(core, '127.0.0.1:0');
-  const options = {baseUrl: `http://${front.address}`};
+  const server = await createPlatformServer(core, '127.0.0.1:0');
+  const options = {baseUrl: `http://${server.address}`};
   const table = createHttpTable(host, options);
   const put = (attemptId: string, timeoutMs: number) =>
     table.transact(
@@ -194,8 +194,8 @@
   ]);
   const list = await createHttpHostList(host, options).list(LONG_MS);
   assert.equal(list.kind === 'read' && list.value[0].hostId, 'h1');
-  await front.close();
-  // A pooled connection may break under the first write: nobody can tell then.
+  await server.close();
+  // The first write may break a pooled connection; its outcome is then unknown.
   assert.notEqual((await put('a4', LONG_MS)).kind, 'applied');
   assert.equal((await put('a5', LONG_MS)).kind, 'refused');
 });
@@ -215,30 +215,29 @@
 }
 
 test('a posting avoids a connection that went silent while idle', async () => {
-  // A bookkeeper posts; the reused connection has been dropped by the network
-  // in between. The posting would be neither run nor refused. It must go over
-  // a connection that is known to work.
+  // The network drops a pooled connection while it is idle. A posting sent
+  // over it would get no answer; it must use a connection that works.
   const core = createServiceCore(host);
-  const front = await createServiceServer(core, '127.0.0.1:0');
-  const service = createHttpPlainServiceFactory(host)(front.address);
+  const server = await createServiceServer(core, '127.0.0.1:0');
+  const service = createHttpPlainServiceFactory(host)(server.address);
   const {signal} = new AbortController();
   const first = await service.call(posting(), signal);
   assert.equal(first.kind === 'answered' && first.status, 200);
   assert.equal(core.books().runs[0].path, '/postings?year=2026');
   const strict = posting({connectionProvenWithinMs: 0.001});
   assert.equal((await service.call(strict, signal)).kind, 'answered');
-  front.silenceConnections();
+  server.silenceConnections();
   assert.equal((await service.call(strict, signal)).kind, 'answered');
   const pooled = await service.call(posting({timeoutMs: SHORT_MS}), signal);
   assert.equal(pooled.kind === 'failed' && pooled.mayHaveRun, true);
   assert.deepEqual(core.books().runsByKey, {k1: 3});
-  await front.close();
+  await server.close();
 });
 
-test('whether a failed call may have run is told truthfully', async () => {
+test('a failed call reports correctly whether it may have run', async () => {
   const core = createServiceCore(host);
-  const front = await createServiceServer(core, '127.0.0.1:0');
-  const service = createHttpPlainServiceFactory(host)(front.address);
+  const server = await createServiceServer(core, '127.0.0.1:0');
+  const service = createHttpPlainServiceFactory(host)(server.address);
   const {signal} = new AbortController();
   const strict = {connectionProvenWithinMs: 1_000};
   core.setFaults({answerLostShare: 1});
@@ -250,7 +249,7 @@
   assert.equal(core.books().runCount, 1);
   const gaveUp = await service.call(posting(strict), AbortSignal.abort());
   assert.equal(gaveUp.kind === 'failed' && gaveUp.mayHaveRun, false);
-  await front.close();
+  await server.close();
   const refused = await service.call(posting(strict), signal);
   assert.equal(refused.kind === 'failed' && refused.mayHaveRun, false);
   assert.equal(core.books().runCount, 1);
--- a/tests/stand_ins/cores_test.ts
+++ b/tests/stand_ins/cores_test.ts
@@ -81,7 +81,7 @@
   return events.flatMap(event => (event.kind === 'tokens' ? event.texts : []));
 }
 
-test('an answer, and its rest when resumed, follow from prompt and offset', async () => {
+test('an answer depends only on prompt and offset, also when resumed', async () => {
   const answer = expectAnswer(PROMPT, 20);
   const expected = Array.from({length: answer.naturalTokenCount}, (_, offset) =>
     answer.textAt(offset),
@@ -104,7 +104,7 @@
   }
 });
 
-test('a prefill result that nobody fetches is dropped and counted as waste', async () => {
+test('a prefill result that is not fetched is dropped and counted as wasted', async () => {
   const pair = createPair();
   const call = pair.prefill.prefill({
     owner: ownerOf('r1'),
@@ -121,8 +121,8 @@
 });
 
 test('a running decode keeps its memory until its owner cancels it', async () => {
-  // A connection goes silent while an answer streams. The reader gives the
-  // stream up; the engine knows nothing of it and decodes on, holding memory.
+  // A connection goes silent during an answer. The reader abandons the stream;
+  // the engine doesn't notice, keeps decoding and keeps its memory.
   const pair = createPair({answerTokens: 1_000});
   const owner = ownerOf('r1');
   const sessionId = await importPrompt(pair, owner);
@@ -143,7 +143,7 @@
   assert.equal(pair.decode.books().kvUsedBytes, 0);
 });
 
-test('a marked prompt crashes the engine that runs it, and all its streams', async () => {
+test('a prompt with a crash marker crashes the engine and cuts its streams', async () => {
   const pair = createPair({
     answerTokens: 1_000,
     crashAt: 'decode',
@@ -166,7 +166,7 @@
   assert.equal('kind' in load && load.reason, 'unreachable');
 });
 
-test('an old fence is refused by engines that check and taken by others', async () => {
+test('an order with an old fence is refused only by engines that check fences', async () => {
   for (const checksFences of [true, false]) {
     const pair = createPair({checksFences});
     const send = (fence: number) =>
@@ -187,7 +187,7 @@
   }
 });
 
-test('a write whose answer is lost is in the table all the same', async () => {
+test('a write whose answer is lost is still applied', async () => {
   const host = createHost();
   const platform = createPlatformCore(host);
   platform.setFaults({answerLostShare: 1});
@@ -207,7 +207,7 @@
   assert.equal(outcome.kind === 'read' && outcome.value[0].version, 1);
 });
 
-test('a transaction applies whole or not at all', async () => {
+test('a transaction applies all of its writes or none', async () => {
   const host = createHost();
   const platform = createPlatformCore(host);
   const transact = async (attemptId: string, version: number) => {
@@ -257,7 +257,7 @@
   assert.equal(await stateAfter(3_000), 'leaving');
 });
 
-test('a plain service runs what arrives, and its books tell how often', async () => {
+test('a plain service runs every call and counts runs by key', async () => {
   const host = createHost();
   const service = createServiceCore(host);
   const call = () =>
--- a/tests/stand_ins/reset_socket_test.ts
+++ b/tests/stand_ins/reset_socket_test.ts
@@ -11,10 +11,9 @@
   ['has begun to end', (socket: net.Socket) => socket.end()],
 ] as const) {
   test(`a socket that ${state} is closed by a reset`, async () => {
-    // A soak whose seeds had all held went on for minutes at most of a core:
-    // one link was reset while its end was on the way, and was never closed.
-    // Seen in a stack of the native loop: the process waited at its exit for
-    // the one socket that was left.
+    // Guards against a process that doesn't exit and uses most of a core: a
+    // socket that was reset during its shutdown was never closed, and the event
+    // loop waited for it at exit.
     const server = net.createServer({allowHalfOpen: true}, socket => {
       socket.on('error', () => undefined);
     });
