--- a/tests/support/baseline.ts
+++ b/tests/support/baseline.ts
@@ -1,11 +1,11 @@
-/** Reviewed baselines in `tests/baselines`, by the snapshot library. */
+/** Compares texts with the reviewed baselines in `tests/baselines`. */
 
 import path from 'node:path';
 import {fileURLToPath} from 'node:url';
 import {SnapshotClient} from '@vitest/snapshot';
 import {NodeSnapshotEnvironment} from '@vitest/snapshot/environment';
 
-/** The root of the source tree; compiled tests run from `build/tests/support`. */
+/** Root of the source tree; the compiled tests run in `build/tests/support`. */
 export const sourceRoot = path.resolve(
   path.dirname(fileURLToPath(import.meta.url)),
   '..',
@@ -19,8 +19,8 @@
 let nextAssertion = 0;
 
 /**
- * Fails unless `text` is what `tests/baselines/<name>.txt` has. While
- * accepting, writes the file instead; a missing file fails like a changed one.
+ * Fails if `text` differs from `tests/baselines/<name>.txt` or the file is
+ * missing. `npm run baselines:accept` writes the file instead.
  */
 export async function assertBaseline(
   name: string,
@@ -29,7 +29,7 @@
   await assertSourceFile(path.join('tests', 'baselines', `${name}.txt`), text);
 }
 
-/** As `assertBaseline`, for a file anywhere in the source tree. */
+/** Like `assertBaseline`, for any file in the source tree. */
 export async function assertSourceFile(
   relativePath: string,
   text: string,
--- a/tests/support/free_address.ts
+++ b/tests/support/free_address.ts
@@ -1,34 +1,36 @@
 /**
- * Addresses that nothing listens on, for processes that are told where to
- * listen. A port that was found free is taken by another test file, or by an
- * outgoing connection of any process, before it is listened on; so each
- * process of the tests has a loopback address of its own, and names no port
- * twice.
+ * Free addresses for processes under test that listen on a given address.
+ * Another test file or an outgoing connection could take a free port before the
+ * process listens on it, so each test process uses its own loopback address and
+ * returns no port twice.
  */
 
 import net from 'node:net';
 
-const BYTE = 256;
-/** 127.0.0.x is everybody's. */
-const FIRST_SECOND_BYTE = 1;
-const SECOND_BYTES = 126;
+const OCTET_VALUES = 256;
+/** 127.0.0.x is shared by all processes. */
+const MIN_SECOND_OCTET = 1;
+const SECOND_OCTET_COUNT = 126;
 
-/** A loopback address that other processes of this machine do not use. */
+/**
+ * Returns a loopback address that no other test process of this machine uses.
+ */
 export function ownLoopback(pid = process.pid): string {
   const second =
-    FIRST_SECOND_BYTE + (Math.floor(pid / BYTE ** 2) % SECOND_BYTES);
-  return `127.${second}.${Math.floor(pid / BYTE) % BYTE}.${pid % BYTE}`;
+    MIN_SECOND_OCTET +
+    (Math.floor(pid / OCTET_VALUES ** 2) % SECOND_OCTET_COUNT);
+  return `127.${second}.${Math.floor(pid / OCTET_VALUES) % OCTET_VALUES}.${pid % OCTET_VALUES}`;
 }
 
-const given = new Set<number>();
+const returnedPorts = new Set<number>();
 
 export async function findFreePort(ip = ownLoopback()): Promise<number> {
   const server = net.createServer();
   await new Promise<void>(resolve => server.listen(0, ip, resolve));
   const {port} = server.address() as net.AddressInfo;
   await new Promise(resolve => server.close(resolve));
-  if (given.has(port)) return findFreePort(ip);
-  given.add(port);
+  if (returnedPorts.has(port)) return findFreePort(ip);
+  returnedPorts.add(port);
   return port;
 }
 
@@ -37,10 +39,10 @@
   return `${ip}:${await findFreePort(ip)}`;
 }
 
-/** The same port of a second address that is this process's alone. */
+/** Returns the same port on a second loopback address of this process. */
 export function onSecondLoopback(address: string): string {
   const [ip, port] = address.split(':');
   const [first, second, ...rest] = ip.split('.');
-  const other = Number(second) + SECOND_BYTES;
-  return `${[first, other, ...rest].join('.')}:${port}`;
+  const otherSecond = Number(second) + SECOND_OCTET_COUNT;
+  return `${[first, otherSecond, ...rest].join('.')}:${port}`;
 }
--- a/tests/support/recording_log.ts
+++ b/tests/support/recording_log.ts
@@ -1,4 +1,4 @@
-/** A logger that keeps what it is told. */
+/** A logger that keeps its lines, for tests to check. */
 
 import type {Logger} from '../../src/ports/log.js';
 
--- a/tests/support/store_revisions.ts
+++ b/tests/support/store_revisions.ts
@@ -1,4 +1,4 @@
-/** Moments of a store, for tests. */
+/** Creates store revisions for tests. */
 
 import type {StoreRevision} from '../../src/core/store_revision.js';
 
