--- a/tests/stand_ins/cores_test.ts
+++ b/tests/stand_ins/cores_test.ts
@@ -159,9 +159,9 @@
   await pair.clock.advance(500);
   assert.equal(events.length, 1);
   assert.equal(events[0].kind, 'cut');
-  const books = pair.decode.books();
-  assert.equal(books.isUp, false);
-  assert.equal(books.kvUsedBytes, 0);
+  const state = pair.decode.books();
+  assert.equal(state.isUp, false);
+  assert.equal(state.kvUsedBytes, 0);
   const load = await settleWith(pair, pair.decode.load(TIMEOUT_MS), 10);
   assert.equal('kind' in load && load.reason, 'unreachable');
 });
