--- a/bench/journal.ts
+++ b/bench/journal.ts
@@ -73,7 +73,7 @@
       },
     ),
   );
-  const before = platform.books();
+  const before = platform.stats();
   const latency = buildHistogram({highestTrackableValue: 60_000});
   let proceeded = 0;
   let refused = 0;
@@ -112,7 +112,7 @@
     clock.setTimer(atMs, () => void post(i));
   }
   await clock.advance(SECONDS * 1_000);
-  const after = platform.books();
+  const after = platform.stats();
   const writes = after.writes - before.writes;
   const applied = writes - (after.writesRefused - before.writesRefused);
   return {
--- a/bench/process_faults.ts
+++ b/bench/process_faults.ts
@@ -6,7 +6,7 @@
 import {setTimeout as sleep} from 'node:timers/promises';
 import {parseArgs} from 'node:util';
 import type {EngineSession} from '../src/ports/engine.js';
-import type {PlatformBooks} from '../stand_ins/platform_core.js';
+import type {PlatformStats} from '../stand_ins/platform_core.js';
 import {
   CALLER_KEY,
   getJson,
@@ -291,7 +291,7 @@
     if (!verdict.isGood) badCount++;
     console.log(`${verdict.isGood ? 'good' : 'BAD '} ${verdict.name}`);
     for (const line of verdict.lines) console.log(`     ${line}`);
-    const books = await getJson<PlatformBooks>(`${fleet.platformUrl}/books`);
+    const books = await getJson<PlatformStats>(`${fleet.platformUrl}/books`);
     console.log(
       `     platform: ${books.writes} writes (${books.writesRefused} refused, ` +
         `${books.answersLost} answers lost), ${books.reads} reads ` +
--- a/bench/support/posting_audit.ts
+++ b/bench/support/posting_audit.ts
@@ -1,6 +1,6 @@
 /** Compares what callers were told with what the service's books say it ran. */
 
-import type {ServiceBooks} from '../../stand_ins/service_core.js';
+import type {ServiceStats} from '../../stand_ins/service_core.js';
 import {getJson} from './fleet.js';
 import {quantile} from './sse_client.js';
 import type {PostingResult} from './posting_client.js';
@@ -35,7 +35,7 @@
     map.set(key, (map.get(key) ?? 0) + 1);
   for (const address of serviceAddresses) {
     const url = `http://${address}/stand-in/books`;
-    const books = await getJson<ServiceBooks>(url);
+    const books = await getJson<ServiceStats>(url);
     for (const run of books.runs) {
       add(byKey, run.idempotencyKey ?? '');
       add(byRequest, run.requestId);
--- a/bench/support/site_observer.ts
+++ b/bench/support/site_observer.ts
@@ -46,7 +46,7 @@
 
 function checkMemory(site: RequestSite): readonly Violation[] {
   const held = [...site.prefill, ...site.decode].flatMap(engine => {
-    const books = engine.books();
+    const books = engine.stats();
     const isClean = books.sessions.length === 0 && books.kvUsedBytes === 0;
     const owners = books.sessions.map(session => session.owner.attemptId);
     return isClean
@@ -87,12 +87,12 @@
 function runIds(site: RequestSite): ReadonlySet<string> {
   const ids = new Set<string>();
   for (const engine of [...site.prefill, ...site.decode]) {
-    for (const run of engine.books().runs) {
+    for (const run of engine.stats().runs) {
       if (run.prefillsStarted + run.decodesStarted > 0) ids.add(run.requestId);
     }
   }
   for (const service of site.services) {
-    for (const run of service.books().runs) ids.add(run.requestId);
+    for (const run of service.stats().runs) ids.add(run.requestId);
   }
   return ids;
 }
@@ -119,7 +119,7 @@
 ): readonly Violation[] {
   const runs = new Map<string, number>();
   for (const service of site.services) {
-    for (const run of service.books().runs) {
+    for (const run of service.stats().runs) {
       if (run.method !== 'POST') continue;
       const name = run.idempotencyKey ?? run.requestId;
       runs.set(name, (runs.get(name) ?? 0) + 1);
@@ -169,8 +169,8 @@
 
 function checkLeaving(site: RequestSite): readonly Violation[] {
   const books = [
-    ...[...site.prefill, ...site.decode].map(engine => engine.books()),
-    ...site.services.map(service => service.books()),
+    ...[...site.prefill, ...site.decode].map(engine => engine.stats()),
+    ...site.services.map(service => service.stats()),
   ];
   return books
     .filter(({workAfterLeavingMs}) =>
@@ -241,7 +241,7 @@
 ): void {
   site.clock.setTimer(RELEASE_WITHIN_MS, () => {
     for (const engine of [...site.prefill, ...site.decode]) {
-      const {sessions, engineId, isUp} = engine.books();
+      const {sessions, engineId, isUp} = engine.stats();
       const isHeld =
         isUp && sessions.some(({owner}) => owner.requestId === requestId);
       if (isHeld) onHeld(`${engineId} holds memory of ended ${requestId}`);
--- a/src/scenario/scenario_conditions.ts
+++ b/src/scenario/scenario_conditions.ts
@@ -18,7 +18,7 @@
 ): ConditionDefinition['holds'] {
   return (args, world) =>
     getEngine(args, world)
-      .books()
+      .stats()
       .sessions.some(session => session.kind === kind);
 }
 
@@ -37,28 +37,28 @@
     pattern: '<engine> computes a prefill',
     holds: (args, world) =>
       getEngine(args, world)
-        .books()
+        .stats()
         .runs.some(run => run.prefillsStarted > run.prefillsFinished),
   },
   {
     pattern: '<engine> holds a prefill',
     holds: (args, world) =>
-      getEngine(args, world).books().prefillsFinished > 0 &&
+      getEngine(args, world).stats().prefillsFinished > 0 &&
       holdsSession('prefill-result')(args, world),
   },
   {pattern: '<engine> holds an import', holds: holdsSession('import')},
   {pattern: '<engine> holds a decode', holds: holdsSession('decode')},
   {
     pattern: '<engine> is free',
-    holds: (args, world) => getEngine(args, world).books().kvUsedBytes === 0,
+    holds: (args, world) => getEngine(args, world).stats().kvUsedBytes === 0,
   },
   {
     pattern: '<ledger> has run <count>',
     holds: (args, world) =>
-      world.ledgers.get(args.getText(0))!.books().runCount >= args.getCount(1),
+      world.ledgers.get(args.getText(0))!.stats().runCount >= args.getCount(1),
   },
   {
     pattern: 'platform has rows <count>',
-    holds: (args, world) => world.platform.books().rowCount >= args.getCount(0),
+    holds: (args, world) => world.platform.stats().rowCount >= args.getCount(0),
   },
 ];
--- a/src/scenario/scenario_expectations.ts
+++ b/src/scenario/scenario_expectations.ts
@@ -61,7 +61,7 @@
 
 function sumRuns(world: World, key: string): number {
   return [...world.ledgers.values()].reduce(
-    (sum, ledger) => sum + (ledger.books().runsByKey[key] ?? 0),
+    (sum, ledger) => sum + (ledger.stats().runsByKey[key] ?? 0),
     0,
   );
 }
@@ -117,25 +117,25 @@
     return failUnless(runs === args.getCount(1), `${runs} runs`);
   }),
   define('<ledger> run <count>', (args, world) => {
-    const runs = world.ledgers.get(args.getText(0))!.books().runCount;
+    const runs = world.ledgers.get(args.getText(0))!.stats().runCount;
     return failUnless(runs === args.getCount(1), `${runs} runs`);
   }),
   define('<engine> prefills <count>', (args, world) => {
-    const {prefillsFinished} = world.engines.get(args.getText(0))!.books();
+    const {prefillsFinished} = world.engines.get(args.getText(0))!.stats();
     const isRight = prefillsFinished === args.getCount(1);
     return failUnless(isRight, `${prefillsFinished} prefills`);
   }),
   define('<engine> decodes <count>', (args, world) => {
-    const {runs} = world.engines.get(args.getText(0))!.books();
+    const {runs} = world.engines.get(args.getText(0))!.stats();
     const decodes = runs.reduce((sum, run) => sum + run.decodesStarted, 0);
     return failUnless(decodes === args.getCount(1), `${decodes} decodes`);
   }),
   define('<engine> crashes <count>', (args, world) => {
-    const {crashes} = world.engines.get(args.getText(0))!.books();
+    const {crashes} = world.engines.get(args.getText(0))!.stats();
     return failUnless(crashes === args.getCount(1), `${crashes} crashes`);
   }),
   define('<engine> asked late <count>', (args, world) => {
-    const {workAfterLeavingMs} = world.engines.get(args.getText(0))!.books();
+    const {workAfterLeavingMs} = world.engines.get(args.getText(0))!.stats();
     const late = workAfterLeavingMs.filter(
       ms => ms > MAX_WORK_AFTER_LEAVING_MS,
     ).length;
@@ -143,20 +143,20 @@
   }),
   define('crashes at most <count>', (args, world) => {
     const crashes = [...world.engines.values()].reduce(
-      (sum, engine) => sum + engine.books().crashes,
+      (sum, engine) => sum + engine.stats().crashes,
       0,
     );
     return failUnless(crashes <= args.getCount(0), `${crashes} crashes`);
   }),
   define('wasted prefills <count>', (args, world) => {
     const wasted = [...world.engines.values()].reduce(
-      (sum, engine) => sum + engine.books().prefillsWasted,
+      (sum, engine) => sum + engine.stats().prefillsWasted,
       0,
     );
     return failUnless(wasted === args.getCount(0), `${wasted} wasted`);
   }),
   define('<engine> free', (args, world) => {
-    const {sessions} = world.engines.get(args.getText(0))!.books();
+    const {sessions} = world.engines.get(args.getText(0))!.stats();
     return failUnless(sessions.length === 0, `${sessions.length} sessions`);
   }),
   define('home queues <count>', (args, world) => {
--- a/src/scenario/scenario_invariants.ts
+++ b/src/scenario/scenario_invariants.ts
@@ -24,7 +24,7 @@
 /** All sessions that engines hold, as sentences. */
 export function findHeldSessions(world: World): readonly string[] {
   return [...world.engines].flatMap(([name, engine]) => {
-    const {isUp, sessions} = engine.books();
+    const {isUp, sessions} = engine.stats();
     if (!isUp) return [];
     return sessions.map(
       ({kind, owner}) => `${name} holds ${kind} of ${owner.requestId}`,
@@ -64,7 +64,7 @@
 function checkSingleRuns(world: World): readonly string[] {
   const counts = new Map<string, number>();
   for (const ledger of world.ledgers.values()) {
-    for (const run of ledger.books().runs) {
+    for (const run of ledger.stats().runs) {
       if (run.method === 'GET') continue;
       const name = run.idempotencyKey ?? run.requestId;
       counts.set(name, (counts.get(name) ?? 0) + 1);
@@ -90,14 +90,14 @@
 function hasModelRun(world: World, requestId: string): boolean {
   return [...world.engines.values()].some(engine =>
     engine
-      .books()
+      .stats()
       .runs.some(run => run.requestId === requestId && run.tokensMade > 0),
   );
 }
 
 function hasPlainRun(world: World, requestId: string): boolean {
   return [...world.ledgers.values()].some(
-    ledger => ledger.books().runsByRequest[requestId] > 0,
+    ledger => ledger.stats().runsByRequest[requestId] > 0,
   );
 }
 
--- a/src/scenario/scenario_statements.ts
+++ b/src/scenario/scenario_statements.ts
@@ -301,9 +301,9 @@
 function findServingEngine(name: string, world: World): EngineCore | undefined {
   const {requestId} = world.requests.get(name)!.request;
   const holders = [...world.engines.values()].filter(engine =>
-    engine.books().sessions.some(({owner}) => owner.requestId === requestId),
+    engine.stats().sessions.some(({owner}) => owner.requestId === requestId),
   );
-  const isDecoder = (engine: EngineCore) => engine.books().role === 'decode';
+  const isDecoder = (engine: EngineCore) => engine.stats().role === 'decode';
   return holders.find(isDecoder) ?? holders[0];
 }
 
--- a/stand_ins/engine_core.ts
+++ b/stand_ins/engine_core.ts
@@ -21,7 +21,7 @@
 import {
   defaultEngineOptions,
   failure,
-  type EngineBooks,
+  type EngineStats,
   type EngineFaults,
   type EngineHost,
   type EngineOptions,
@@ -44,7 +44,7 @@
   /** Drops all state; calls fail until `restart`. */
   crash(): void;
   restart(): void;
-  books(): EngineBooks;
+  stats(): EngineStats;
 }
 
 const noFaults: EngineFaults = {
@@ -372,7 +372,7 @@
     },
     crash,
     restart,
-    books: () => ({
+    stats: () => ({
       ...counters.totals(),
       engineId: options.engineId,
       role,
--- a/stand_ins/engine_server.ts
+++ b/stand_ins/engine_server.ts
@@ -137,7 +137,7 @@
         core.order(order, CALL_TIMEOUT_MS),
       ),
       'GET /alive': handleJson(() => core.probe(CALL_TIMEOUT_MS)),
-      'GET /books': async () => ({status: 200, body: core.books()}),
+      'GET /books': async () => ({status: 200, body: core.stats()}),
       'PUT /faults': createFaultHandler(core, () => server),
     },
   });
--- a/stand_ins/engine_types.ts
+++ b/stand_ins/engine_types.ts
@@ -132,7 +132,7 @@
 }
 
 /** State and counters of the engine, read only by tests and observers. */
-export interface EngineBooks {
+export interface EngineStats {
   readonly engineId: string;
   readonly role: EngineRole;
   readonly isUp: boolean;
--- a/stand_ins/platform_core.ts
+++ b/stand_ins/platform_core.ts
@@ -58,7 +58,7 @@
   readonly hostListLagMs: number;
 }
 
-export interface PlatformBooks {
+export interface PlatformStats {
   readonly writes: number;
   readonly writesRefused: number;
   readonly reads: number;
@@ -83,7 +83,7 @@
   /** Stops serving; rows and objects are kept. */
   crash(): void;
   restart(): void;
-  books(): PlatformBooks;
+  stats(): PlatformStats;
 }
 
 const MAX_LOG = 50_000;
@@ -268,7 +268,7 @@
     },
     crash: gate.crash,
     restart: gate.restart,
-    books: () => ({
+    stats: () => ({
       ...counts,
       rowCount: store.rowCount(),
       objectCount: objects.size,
--- a/stand_ins/platform_server.ts
+++ b/stand_ins/platform_server.ts
@@ -130,7 +130,7 @@
       'PUT /hosts': putHosts,
       'PUT /hosts/*': putHost,
       'DELETE /hosts/*': removeHost,
-      'GET /books': async () => ({status: 200, body: core.books()}),
+      'GET /books': async () => ({status: 200, body: core.stats()}),
       'PUT /faults': createFaultHandler(core, () => server),
     },
   });
--- a/stand_ins/service_core.ts
+++ b/stand_ins/service_core.ts
@@ -61,7 +61,7 @@
   readonly atMs: number;
 }
 
-export interface ServiceBooks {
+export interface ServiceStats {
   readonly serviceId: string;
   readonly isUp: boolean;
   readonly runCount: number;
@@ -81,7 +81,7 @@
   setFaults(patch: Partial<ServiceFaults>): void;
   crash(): void;
   restart(): void;
-  books(): ServiceBooks;
+  stats(): ServiceStats;
 }
 
 const LEAVING_STATUS = 503;
@@ -263,7 +263,7 @@
     },
     crash,
     restart,
-    books: () => ({
+    stats: () => ({
       serviceId: options.serviceId,
       isUp: gate.isUp(),
       runCount: runs.length,
--- a/stand_ins/service_server.ts
+++ b/stand_ins/service_server.ts
@@ -50,7 +50,7 @@
         await core.probe(CALL_TIMEOUT_MS);
         return {status: 200, body: {}};
       },
-      'GET /stand-in/books': async () => ({status: 200, body: core.books()}),
+      'GET /stand-in/books': async () => ({status: 200, body: core.stats()}),
       'PUT /stand-in/faults': createFaultHandler(core, () => server),
     },
     fallback: run,
--- a/stand_ins/users_platform/engine_stand_in.ts
+++ b/stand_ins/users_platform/engine_stand_in.ts
@@ -35,9 +35,9 @@
   /** On the monotonic clock of this process. */
   readonly startedAtMs: number;
   /** The caller's connection closed before the end of the answer. */
-  wasLeft: boolean;
+  wasDisconnected: boolean;
   /** When that connection closed, on the same clock. */
-  leftAtMs?: number;
+  disconnectedAtMs?: number;
 }
 
 /**
@@ -71,7 +71,7 @@
    * Number of prefill results not yet deleted, including those already used for
    * a decode.
    */
-  heldResults(): number;
+  keptResultCount(): number;
   /** Accepted orders, oldest first. */
   readonly orders: ReadonlyArray<{
     readonly stage: string;
@@ -83,7 +83,7 @@
   /** Announces in every answer that the upstream is leaving. */
   setLeaving(): void;
   /** Sets the `Retry-After` of 503 answers; undefined sends none. */
-  setRest(seconds: number | undefined): void;
+  setRetryAfter(seconds: number | undefined): void;
   /** Makes the engine crash after this many events of a stream. */
   crashAfterEvents(count: number): void;
   /** Makes a stream stall, but stay open, after this many events. */
@@ -133,15 +133,15 @@
       body,
       stage,
       startedAtMs: performance.now(),
-      wasLeft: false,
+      wasDisconnected: false,
     };
     runs.push(run);
     return run;
   }
 
   function markDisconnected(run: EngineRun): void {
-    run.wasLeft = true;
-    run.leftAtMs ??= performance.now();
+    run.wasDisconnected = true;
+    run.disconnectedAtMs ??= performance.now();
   }
 
   /**
@@ -312,7 +312,7 @@
     arrivals,
     orders,
     refusalCount: () => refusals,
-    heldResults: () => handles.size,
+    keptResultCount: () => handles.size,
     row: (state = 'ready') => ({
       service,
       address,
@@ -331,7 +331,7 @@
     setLeaving() {
       isLeaving = true;
     },
-    setRest(seconds) {
+    setRetryAfter(seconds) {
       retryAfterSeconds = seconds;
     },
     crashAfterEvents(count) {
--- a/tests/platform/relay_path_test.ts
+++ b/tests/platform/relay_path_test.ts
@@ -247,7 +247,7 @@
   caller?.destroy();
   // The disconnect may come before or after the response head.
   await running.catch(() => undefined);
-  await until('the end of the run', () => decode.runs[0].wasLeft);
+  await until('the end of the run', () => decode.runs[0].wasDisconnected);
 });
 
 test('unknown hosts and paths are 404; without a configuration all is 503', async () => {
@@ -408,5 +408,5 @@
   const answer = await site.call(entry, '/mustand/1', draft);
   assert.equal(answer.status, 503);
   assert.ok(prefillEngine.runs.length > 0);
-  await until('freed', () => prefillEngine.heldResults() === 0);
+  await until('freed', () => prefillEngine.keptResultCount() === 0);
 });
--- a/tests/platform/relay_promises_test.ts
+++ b/tests/platform/relay_promises_test.ts
@@ -116,9 +116,9 @@
   second.stallAfterEvents(100);
   const answer = await running;
   assert.equal(countEvents(answer.body), 8);
-  await until('the end of the first run', () => first.runs[0].wasLeft);
-  const {leftAtMs = Number.POSITIVE_INFINITY} = first.runs[0];
-  assert.ok(leftAtMs - second.runs[0].startedAtMs < 400);
+  await until('the end of the first run', () => first.runs[0].wasDisconnected);
+  const {disconnectedAtMs = Number.POSITIVE_INFINITY} = first.runs[0];
+  assert.ok(disconnectedAtMs - second.runs[0].startedAtMs < 400);
 });
 
 test('a stream makes no more attempts than its route allows', async () => {
--- a/tests/platform/upstream_rest_test.ts
+++ b/tests/platform/upstream_rest_test.ts
@@ -59,7 +59,7 @@
 ): Promise<readonly SiteAnswer[]> {
   for (const each of refusing) {
     each.setBehaviour('full');
-    each.setRest(RETRY_AFTER_S);
+    each.setRetryAfter(RETRY_AFTER_S);
   }
   const answers = await callFor(site, [entry], CALLING_MS, path, options);
   for (const each of refusing) {
--- a/tests/request/journal_owner_test.ts
+++ b/tests/request/journal_owner_test.ts
@@ -184,7 +184,7 @@
   await clock.advance(100);
   void owner.end(intent(), {kind: 'answered', answer: {...answer, body}});
   await clock.advance(100);
-  assert.equal(platform.books().objectCount, 1);
+  assert.equal(platform.stats().objectCount, 1);
   const repeat = owner.begin(intent({attemptId: 'a2'}));
   await clock.advance(100);
   const outcome = await repeat;
@@ -197,14 +197,14 @@
 test('many intents share one transaction', async () => {
   const {clock, platform, createOwner} = await createFixture();
   const owner = createOwner(1);
-  const before = platform.books().writes;
+  const before = platform.stats().writes;
   const begun = Array.from({length: 50}, (_, i) =>
     owner.begin(intent({idempotencyKey: `m${i}`, attemptId: `m${i}`})),
   );
   await clock.advance(200);
   const outcomes = await Promise.all(begun);
   assert.ok(outcomes.every(({kind}) => kind === 'proceed'));
-  assert.equal(platform.books().writes - before, 1);
+  assert.equal(platform.stats().writes - before, 1);
 });
 
 // While the number of partitions changes, two owners with valid leases may
@@ -233,7 +233,7 @@
   await clock.advance(100);
   void owner.end(intent(), {kind: 'answered', answer});
   await clock.advance(100);
-  const rowsBefore = platform.books().rowCount;
+  const rowsBefore = platform.stats().rowCount;
   await clock.advance(120_000);
-  assert.equal(platform.books().rowCount, rowsBefore - 1);
+  assert.equal(platform.stats().rowCount, rowsBefore - 1);
 });
--- a/tests/request/kept_answers_test.ts
+++ b/tests/request/kept_answers_test.ts
@@ -26,7 +26,7 @@
     callers.records().find(record => record.spec.sender === sender)
       ?.outcomes[0];
   const prefills = () =>
-    site.prefill.reduce((sum, each) => sum + each.books().prefillsFinished, 0);
+    site.prefill.reduce((sum, each) => sum + each.stats().prefillsFinished, 0);
   return {site, callers, outcomeOf, prefills};
 }
 
@@ -98,7 +98,7 @@
   });
   await site.clock.advance(170);
   const held = [...site.prefill, ...site.decode].flatMap(
-    engine => engine.books().sessions,
+    engine => engine.stats().sessions,
   );
   assert.deepEqual(held, []);
   assert.equal(site.home.openGrants(), 0);
--- a/tests/soak/soak_faults.ts
+++ b/tests/soak/soak_faults.ts
@@ -374,12 +374,12 @@
   async 'asks-rest'(context, {forMs}) {
     const upstream = pickReplaceable(context);
     if (!upstream || hasActiveSignal(upstream)) return;
-    upstream.standIn.setRest(RETRY_AFTER_S);
+    upstream.standIn.setRetryAfter(RETRY_AFTER_S);
     upstream.standIn.setBehaviour('full');
     const signal = {kind: 'rest', value: RETRY_AFTER_S} as const;
     await recordSignal(context, upstream, signal, 2 * forMs);
     upstream.standIn.setBehaviour('answer');
-    upstream.standIn.setRest(undefined);
+    upstream.standIn.setRetryAfter(undefined);
   },
   async configure(context) {
     context.site.publishConfiguration(context.random.nextInt(2));
--- a/tests/stand_ins/adapters_test.ts
+++ b/tests/stand_ins/adapters_test.ts
@@ -124,13 +124,13 @@
   });
   const last = events.at(-1);
   assert.equal(last?.kind === 'cut' && last.failure.reason, 'broken');
-  assert.equal(engines.decodeCore.books().sessions.length, 1);
+  assert.equal(engines.decodeCore.stats().sessions.length, 1);
   assert.equal(await engines.decode.probe(LONG_MS), 'alive');
   // The pooled connection of control calls is silent too, so one call fails.
   const first = await engines.decode.cancel(owner, SHORT_MS);
   assert.equal(typeof first !== 'string' && first.reason, 'timeout');
   assert.equal(await engines.decode.cancel(owner, LONG_MS), 'released');
-  assert.equal(engines.decodeCore.books().kvUsedBytes, 0);
+  assert.equal(engines.decodeCore.stats().kvUsedBytes, 0);
   await engines.close();
 });
 
@@ -223,14 +223,14 @@
   const {signal} = new AbortController();
   const first = await service.call(posting(), signal);
   assert.equal(first.kind === 'answered' && first.status, 200);
-  assert.equal(core.books().runs[0].path, '/postings?year=2026');
+  assert.equal(core.stats().runs[0].path, '/postings?year=2026');
   const strict = posting({connectionProvenWithinMs: 0.001});
   assert.equal((await service.call(strict, signal)).kind, 'answered');
   server.silenceConnections();
   assert.equal((await service.call(strict, signal)).kind, 'answered');
   const pooled = await service.call(posting({timeoutMs: SHORT_MS}), signal);
   assert.equal(pooled.kind === 'failed' && pooled.mayHaveRun, true);
-  assert.deepEqual(core.books().runsByKey, {k1: 3});
+  assert.deepEqual(core.stats().runsByKey, {k1: 3});
   await server.close();
 });
 
@@ -246,11 +246,11 @@
     signal,
   );
   assert.equal(lost.kind === 'failed' && lost.mayHaveRun, true);
-  assert.equal(core.books().runCount, 1);
+  assert.equal(core.stats().runCount, 1);
   const gaveUp = await service.call(posting(strict), AbortSignal.abort());
   assert.equal(gaveUp.kind === 'failed' && gaveUp.mayHaveRun, false);
   await server.close();
   const refused = await service.call(posting(strict), signal);
   assert.equal(refused.kind === 'failed' && refused.mayHaveRun, false);
-  assert.equal(core.books().runCount, 1);
+  assert.equal(core.stats().runCount, 1);
 });
--- a/tests/stand_ins/cores_test.ts
+++ b/tests/stand_ins/cores_test.ts
@@ -98,9 +98,9 @@
     await pair.clock.advance(WORST_MS);
     assert.deepEqual(textsOf(events), expected.slice(fromOffset));
     assert.equal(events.at(-1)?.kind, 'end');
-    assert.equal(pair.prefill.books().kvUsedBytes, 0);
-    assert.equal(pair.decode.books().kvUsedBytes, 0);
-    assert.equal(pair.prefill.books().prefillsWasted, 0);
+    assert.equal(pair.prefill.stats().kvUsedBytes, 0);
+    assert.equal(pair.decode.stats().kvUsedBytes, 0);
+    assert.equal(pair.prefill.stats().prefillsWasted, 0);
   }
 });
 
@@ -114,10 +114,10 @@
     timeoutMs: TIMEOUT_MS,
   });
   assert.equal((await settleWith(pair, call, 100)).kind, 'prefilled');
-  assert.ok(pair.prefill.books().kvUsedBytes > 0);
+  assert.ok(pair.prefill.stats().kvUsedBytes > 0);
   await pair.clock.advance(1_000);
-  assert.equal(pair.prefill.books().kvUsedBytes, 0);
-  assert.equal(pair.prefill.books().prefillsWasted, 1);
+  assert.equal(pair.prefill.stats().kvUsedBytes, 0);
+  assert.equal(pair.prefill.stats().prefillsWasted, 1);
 });
 
 test('a running decode keeps its memory until its owner cancels it', async () => {
@@ -137,10 +137,10 @@
   await pair.clock.advance(3_000);
   assert.equal(events.length, seen + 1);
   assert.equal(events.at(-1)?.kind, 'cut');
-  assert.ok(pair.decode.books().kvUsedBytes > 0);
+  assert.ok(pair.decode.stats().kvUsedBytes > 0);
   const released = pair.decode.cancel(owner, TIMEOUT_MS);
   assert.equal(await settleWith(pair, released, 10), 'released');
-  assert.equal(pair.decode.books().kvUsedBytes, 0);
+  assert.equal(pair.decode.stats().kvUsedBytes, 0);
 });
 
 test('a prompt with a crash marker crashes the engine and cuts its streams', async () => {
@@ -159,7 +159,7 @@
   await pair.clock.advance(500);
   assert.equal(events.length, 1);
   assert.equal(events[0].kind, 'cut');
-  const state = pair.decode.books();
+  const state = pair.decode.stats();
   assert.equal(state.isUp, false);
   assert.equal(state.kvUsedBytes, 0);
   const load = await settleWith(pair, pair.decode.load(TIMEOUT_MS), 10);
@@ -182,7 +182,7 @@
     assert.equal((await settleWith(pair, send(5), 1)).kind, 'accepted');
     const late = await settleWith(pair, send(4), 1);
     assert.equal(late.kind, checksFences ? 'fenced' : 'accepted');
-    const applied = pair.decode.books().orders.length;
+    const applied = pair.decode.stats().orders.length;
     assert.equal(applied, checksFences ? 1 : 2);
   }
 });
@@ -229,7 +229,7 @@
     kind: 'rejected',
     failedKeys: ['a'],
   });
-  assert.equal(platform.books().rowCount, 0);
+  assert.equal(platform.stats().rowCount, 0);
   platform.setFaults({isDown: true});
   assert.equal((await transact('t2', 1)).kind, 'refused');
 });
@@ -285,5 +285,5 @@
   await host.clock.advance(10);
   const outcome = await refused;
   assert.equal(outcome.kind === 'failed' && outcome.mayHaveRun, false);
-  assert.deepEqual(service.books().runsByKey, {k1: 2});
+  assert.deepEqual(service.stats().runsByKey, {k1: 2});
 });
