--- a/bench/policy.ts
+++ b/bench/policy.ts
@@ -5,10 +5,10 @@
  */
 
 import {parseArgs} from 'node:util';
-import {bestSplit, splits} from './policy/capacity_bound.js';
+import {bestSplit, listSplits} from './policy/capacity_bound.js';
 import {runBars, runFaultBars} from './policy/bars.js';
 import {runIdeas} from './policy/ideas.js';
-import {runReturns, runWeights} from './policy/knobs.js';
+import {runReturns, runWeights} from './policy/weights_and_returns.js';
 import {runPlots} from './policy/plots.js';
 import {runShards} from './policy/shards.js';
 import {runTakeovers} from './policy/takeover.js';
@@ -23,7 +23,7 @@
       `\n${shape.name}: requests/s that ${shape.engines} engines carry`,
     );
     console.log('prefill+decode  by prefill  by slots  by memory  by links');
-    for (const split of splits(shape)) {
+    for (const split of listSplits(shape)) {
       if (Math.abs(split.prefillEngines - best.prefillEngines) > 2) continue;
       const mark = split.prefillEngines === best.prefillEngines ? ' <' : '';
       console.log(
--- a/bench/policy/bars.ts
+++ b/bench/policy/bars.ts
@@ -1,4 +1,7 @@
-/** The bars of the policy: load without faults, and each fault's shape. */
+/**
+ * Acceptance thresholds of the scheduling policy: goodput and wasted prefills
+ * at several loads, without faults and under each kind of fault.
+ */
 
 import {
   domainLost,
@@ -12,8 +15,8 @@
 import type {RunResult} from './metrics.js';
 import {
   BASELINES,
-  WHOLE,
-  WITH_FORECAST,
+  FULL_POLICY,
+  FULL_POLICY_WITH_IMPORT_RETRIES,
   type SchedulerFactory,
 } from './scheduler.js';
 import {DEFAULT_PLAN, runOnce, type RunPlan} from './simulation.js';
@@ -41,40 +44,43 @@
     };
     results.push(runOnce(plan, factory));
   }
-  assertClosed(results);
+  assertAllRequestsEnded(results);
   return results;
 }
 
-/** A request in no queue, with no grant and no answer is a fault of ours. */
-function assertClosed(results: readonly RunResult[]): void {
+/**
+ * Fails the run when a request never ended or an engine still has
+ * reservations: both are defects of the scheduler or the simulation.
+ */
+function assertAllRequestsEnded(results: readonly RunResult[]): void {
   for (const result of results) {
-    if (result.lost !== 0 || result.openBooks !== 0) {
+    if (result.lost !== 0 || result.enginesWithOpenReservations !== 0) {
       throw new Error(
-        `Closed book broken: ${result.lost} requests lost, ` +
-          `${result.openBooks} engines with open books.`,
+        `Unbalanced run: ${result.lost} requests never ended, ` +
+          `${result.enginesWithOpenReservations} engines still have reservations.`,
       );
     }
   }
 }
 
-interface Verdict {
+interface Check {
   readonly name: string;
   readonly isMet: boolean;
   readonly figure: string;
 }
 
-function printVerdicts(verdicts: readonly Verdict[]): void {
+function printChecks(verdicts: readonly Check[]): void {
   for (const verdict of verdicts) {
     const mark = verdict.isMet ? 'met ' : 'MISSED';
     console.log(`  ${mark} ${verdict.name}: ${verdict.figure}`);
   }
 }
 
-function atLeast(
+function checkGoodput(
   name: string,
   runs: readonly RunResult[],
   share: number,
-): Verdict {
+): Check {
   const worst = Math.min(...runs.map(run => run.goodShare));
   return {
     name: `${name} goodput at least ${percent(share)} of the bound, each seed`,
@@ -83,11 +89,11 @@
   };
 }
 
-function wasteAtMost(
+function checkWastedPrefills(
   name: string,
   runs: readonly RunResult[],
   share: number,
-): Verdict {
+): Check {
   const worst = Math.max(...runs.map(run => run.wastedShare));
   const total =
     runs.reduce((sum, run) => sum + run.wastedPrefills, 0) /
@@ -99,17 +105,20 @@
   };
 }
 
-/** Goodput at the three loads, against the baselines on the same seeds. */
+/** Compares goodput at each load with the baselines on the same seeds. */
 export function runBars(seeds: number): void {
   for (const shape of Object.values(SHAPES)) {
-    const verdicts: Verdict[] = [];
+    const verdicts: Check[] = [];
     for (const load of LOADS) {
       printHeader(`${shape.name} at ${load} of capacity, ${seeds} seeds`);
-      const whole = runSeeds(shape, WHOLE, seeds, {load});
+      const whole = runSeeds(shape, FULL_POLICY, seeds, {load});
       printRow('corianderbend', whole);
-      printRow('+ forecast', runSeeds(shape, WITH_FORECAST, seeds, {load}));
-      verdicts.push(atLeast(`${load}`, whole, load < 1 ? 0.95 : 0.9));
-      if (load === 1.3) verdicts.push(wasteAtMost('1.3', whole, 0.01));
+      printRow(
+        '+ forecast',
+        runSeeds(shape, FULL_POLICY_WITH_IMPORT_RETRIES, seeds, {load}),
+      );
+      verdicts.push(checkGoodput(`${load}`, whole, load < 1 ? 0.95 : 0.9));
+      if (load === 1.3) verdicts.push(checkWastedPrefills('1.3', whole, 0.01));
       for (const [name, factory] of BASELINES) {
         const runs = runSeeds(shape, factory, seeds, {load});
         printRow(name, runs);
@@ -123,14 +132,14 @@
       }
     }
     console.log(`\n${shape.name}`);
-    printVerdicts(verdicts);
+    printChecks(verdicts);
   }
 }
 
 const SETTLE_MS = 5_000;
 
-/** Goodput against the bound in the part of the run the fault concerns. */
-export function windowShare(
+/** Goodput as a share of the bound, within the given part of the run. */
+export function goodShareInWindow(
   run: RunResult,
   fromMs: number,
   untilMs: number,
@@ -174,20 +183,26 @@
 const DEATH_EVERY_MS = 10_000;
 const CANCEL_SHARE = 0.05;
 
-/** Each fault's shape: goodput from 5 s after it, and after its end. */
+/**
+ * Checks goodput under each fault, from 5 s after its start and from 5 s after
+ * its end, and the wasted prefills when engines die and callers cancel.
+ */
 export function runFaultBars(seeds: number): void {
   for (const shape of Object.values(SHAPES)) {
-    const verdicts: Verdict[] = [];
+    const verdicts: Check[] = [];
     for (const load of FAULT_LOADS) {
       printHeader(`${shape.name} at ${load} with faults, ${seeds} seeds`);
       for (const each of faultCases(shape)) {
-        const runs = runSeeds(shape, WHOLE, seeds, {load, ...each.changes});
+        const runs = runSeeds(shape, FULL_POLICY, seeds, {
+          load,
+          ...each.changes,
+        });
         printRow(each.name, runs);
         const during = runs.map(run =>
-          windowShare(run, FAULT_FROM_MS + SETTLE_MS, FAULT_UNTIL_MS),
+          goodShareInWindow(run, FAULT_FROM_MS + SETTLE_MS, FAULT_UNTIL_MS),
         );
         const after = runs.map(run =>
-          windowShare(
+          goodShareInWindow(
             run,
             FAULT_UNTIL_MS + SETTLE_MS,
             DEFAULT_PLAN.warmUpMs + DEFAULT_PLAN.durationMs,
@@ -211,13 +226,13 @@
       faults: engineDeaths(DEATH_EVERY_MS, untilMs),
     };
     printHeader(`${shape.name} at 1.3, a death each 10 s and 5% cancels`);
-    const whole = runSeeds(shape, WHOLE, seeds, changes);
+    const whole = runSeeds(shape, FULL_POLICY, seeds, changes);
     printRow('corianderbend', whole);
-    verdicts.push(wasteAtMost('deaths and cancels:', whole, 0.03));
+    verdicts.push(checkWastedPrefills('deaths and cancels:', whole, 0.03));
     for (const [name, factory] of BASELINES) {
       printRow(name, runSeeds(shape, factory, seeds, changes));
     }
     console.log(`\n${shape.name}`);
-    printVerdicts(verdicts);
+    printChecks(verdicts);
   }
 }
--- a/bench/policy/capacity_bound.ts
+++ b/bench/policy/capacity_bound.ts
@@ -1,6 +1,7 @@
 /**
- * What the engines could do at most, computed from means: the bound that
- * goodput is compared with, and the split into prefill and decode engines.
+ * Upper bound on the request rate that the engines can serve, computed from
+ * mean demands, and the split into prefill and decode engines that maximizes
+ * it. Goodput is compared with this bound.
  */
 
 import {createSeededRandom} from '../../src/core/seeded_random.js';
@@ -10,20 +11,20 @@
 export interface Capacity {
   readonly prefillEngines: number;
   readonly decodeEngines: number;
-  /** Memory of one decode engine: about twenty requests, nearly full. */
+  /** Memory of one decode engine: slightly more than a full batch needs. */
   readonly decodeKvBytes: number;
-  /** Requests each second that each resource could carry. */
+  /** Requests per second that each resource could serve by itself. */
   readonly byPrefill: number;
   readonly bySlots: number;
   readonly byMemory: number;
   readonly byLinks: number;
-  /** The least of them. */
+  /** The lowest of the four rates. */
   readonly ratePerSecond: number;
 }
 
 const SAMPLES = 200_000;
 const SAMPLE_SEED = 4711;
-/** Memory over that of twenty mean requests. */
+/** Memory of a decode engine relative to a full batch of mean requests. */
 const MEMORY_FACTOR = 1.2;
 const MS_PER_SECOND = 1_000;
 
@@ -31,12 +32,12 @@
   readonly prefillMs: number;
   readonly holdMs: number;
   readonly kvBytes: number;
-  /** Memory times the time it is held. */
+  /** KV bytes multiplied by the time for which they stay reserved. */
   readonly kvBytesMs: number;
   readonly promptKvBytes: number;
 }
 
-/** Step time of a full batch: the pace at which capacity is counted. */
+/** Step time of a full batch, on which the capacity is based. */
 const FULL_STEP_MS =
   ENGINE.stepBaseMs + ENGINE.stepPerRequestMs * ENGINE.decodeSlots;
 
@@ -69,7 +70,7 @@
   };
 }
 
-function capacityOf(
+function capacityOfSplit(
   means: Means,
   prefillEngines: number,
   decodeEngines: number,
@@ -97,27 +98,27 @@
   };
 }
 
-/** All splits of the shape's engines, in order of prefill engines. */
-export function splits(shape: Shape): readonly Capacity[] {
+/** All splits of the shape's engines, by ascending number of prefill engines. */
+export function listSplits(shape: Shape): readonly Capacity[] {
   const means = measureMeans(shape);
   const result: Capacity[] = [];
   for (let prefill = 1; prefill < shape.engines; prefill++) {
     if (prefill % (shape.prefillStep ?? 1) !== 0) continue;
-    result.push(capacityOf(means, prefill, shape.engines - prefill));
+    result.push(capacityOfSplit(means, prefill, shape.engines - prefill));
   }
   return result;
 }
 
-const bestByName = new Map<string, Capacity>();
+const bestSplitByShape = new Map<string, Capacity>();
 
 export function bestSplit(shape: Shape): Capacity {
   const key = `${shape.name}/${shape.engines}`;
-  let best = bestByName.get(key);
+  let best = bestSplitByShape.get(key);
   if (!best) {
-    best = splits(shape).reduce((a, b) =>
+    best = listSplits(shape).reduce((a, b) =>
       b.ratePerSecond > a.ratePerSecond ? b : a,
     );
-    bestByName.set(key, best);
+    bestSplitByShape.set(key, best);
   }
   return best;
 }
--- a/bench/policy/engine_fakes.ts
+++ b/bench/policy/engine_fakes.ts
@@ -1,24 +1,24 @@
 /**
- * Small stand-ins for engines at the port's level: a prefill engine that
- * works off a queue, a decode engine that steps its whole batch, and links
- * that carry one transfer after another.
+ * Fake engines for simulations: a prefill engine that processes a queue, a
+ * decode engine that advances its whole batch in steps, and links that carry
+ * one transfer at a time.
  */
 
 import type {Clock, TimerHandle} from '../../src/ports/clock.js';
 import type {CacheEvent, EngineLoadReport} from '../../src/ports/engine.js';
 import {BLOCK_TOKENS} from './workload.js';
 
-/** The machine that all fakes imitate. */
+/** Performance figures of the machine that all fakes imitate. */
 export const ENGINE = {
   prefillOverheadMs: 8,
   prefillTokensPerMs: 25,
   kvBytesPerToken: 160_000,
   decodeSlots: 20,
-  prefillPlaces: 32,
+  prefillQueueSlots: 32,
   stepBaseMs: 30,
   stepPerRequestMs: 1,
   linkBytesPerMs: 12_500_000,
-  resultLifeMs: 800,
+  prefillResultLifetimeMs: 800,
   /** Prompt tokens that the prefix cache of a prefill engine holds. */
   cacheTokens: 200_000,
 } as const;
@@ -28,16 +28,16 @@
   readonly promptTokens: number;
   readonly prefixHashes: readonly string[];
   /** Called once, unless the engine dies or the job is cancelled. */
-  readonly done: (cachedTokens: number) => void;
-  readonly died: () => void;
+  readonly onDone: (cachedTokens: number) => void;
+  readonly onDeath: () => void;
 }
 
 export interface PrefillFake {
   readonly engineId: string;
   submit(job: PrefillJob): void;
-  /** Returns tokens computed for nothing. */
+  /** Returns the number of tokens that were computed in vain. */
   cancel(requestId: string): number;
-  /** Serial use of the outgoing link. */
+  /** Time at which the outgoing link finishes its last transfer. */
   linkFreeAtMs: number;
   die(): void;
   revive(): void;
@@ -57,9 +57,9 @@
   const cache = new Set<string>();
   let running: PrefillJob | undefined;
   let runningSinceMs = 0;
-  let runningCached = 0;
+  let runningCachedTokens = 0;
   let timer: TimerHandle | undefined;
-  let alive = true;
+  let isEngineAlive = true;
   let events: CacheEvent[] = [];
   let sequence = 0;
 
@@ -96,21 +96,21 @@
     events.push({engineId, sequence, kind, prefixHashes});
   }
 
-  function next(): void {
+  function startNextJob(): void {
     running = queue.shift();
     if (!running) return;
     const job = running;
     runningSinceMs = clock.nowMs();
-    runningCached = cachedTokens(job);
-    const tokens = job.promptTokens - runningCached;
+    runningCachedTokens = cachedTokens(job);
+    const tokens = job.promptTokens - runningCachedTokens;
     const tookMs =
       (ENGINE.prefillOverheadMs + tokens / ENGINE.prefillTokensPerMs) *
       fake.slowness;
     timer = clock.setTimer(tookMs, () => {
       running = undefined;
       store(job.prefixHashes);
-      job.done(runningCached);
-      if (!running) next();
+      job.onDone(runningCachedTokens);
+      if (!running) startNextJob();
     });
   }
 
@@ -119,12 +119,12 @@
     linkFreeAtMs: 0,
     slowness: 1,
     submit(job) {
-      if (!alive) {
-        job.died();
+      if (!isEngineAlive) {
+        job.onDeath();
         return;
       }
       queue.push(job);
-      if (!running) next();
+      if (!running) startNextJob();
     },
     cancel(requestId) {
       const index = queue.findIndex(job => job.requestId === requestId);
@@ -133,25 +133,25 @@
       if (timer) clock.clearTimer(timer);
       const elapsedMs = clock.nowMs() - runningSinceMs;
       const tokens = Math.min(
-        running.promptTokens - runningCached,
+        running.promptTokens - runningCachedTokens,
         (elapsedMs * ENGINE.prefillTokensPerMs) / fake.slowness,
       );
-      next();
+      startNextJob();
       return tokens;
     },
     die() {
-      alive = false;
+      isEngineAlive = false;
       if (timer) clock.clearTimer(timer);
-      const dead = running ? [running, ...queue] : [...queue];
+      const interrupted = running ? [running, ...queue] : [...queue];
       running = undefined;
       queue.length = 0;
       cache.clear();
-      for (const job of dead) job.died();
+      for (const job of interrupted) job.onDeath();
     },
     revive() {
-      alive = true;
+      isEngineAlive = true;
     },
-    isAlive: () => alive,
+    isAlive: () => isEngineAlive,
     queuedTokens: () =>
       queue.reduce(
         (sum, job) => sum + job.promptTokens,
@@ -162,7 +162,7 @@
       role: 'prefill',
       models: [],
       sequence: reportSequence,
-      slotsTotal: ENGINE.prefillPlaces,
+      slotsTotal: ENGINE.prefillQueueSlots,
       slotsUsed: queue.length + (running ? 1 : 0),
       kvTotalBytes: kvBytes,
       kvUsedBytes: 0,
@@ -182,7 +182,7 @@
   readonly requestId: string;
   readonly kvBytes: number;
   readonly answerTokens: number;
-  /** Tokens so far, from an earlier engine or this one. */
+  /** Answer tokens so far, including those of earlier engines. */
   tokens: number;
   readonly onToken: (count: number, intervalMs: number) => void;
   readonly onEnd: () => void;
@@ -191,7 +191,7 @@
 
 export interface DecodeFake {
   readonly engineId: string;
-  /** Takes a slot and memory for an import; false when there is none. */
+  /** Reserves a slot and memory for an import; false without free capacity. */
   reserve(requestId: string, kvBytes: number): boolean;
   start(session: DecodeSession): void;
   cancel(requestId: string): void;
@@ -202,9 +202,9 @@
   report(sequence: number): EngineLoadReport;
   slowness: number;
   usedSlots(): number;
-  /** Imports refused for lack of room. */
+  /** Number of imports refused for lack of a slot or memory. */
   refusedImports(): number;
-  /** Of the time so far, the part in which slots were taken. */
+  /** Time for which slots were reserved so far, summed over all slots. */
   busySlotMs(): number;
 }
 
@@ -217,20 +217,20 @@
   const sessions = new Map<string, DecodeSession>();
   let kvUsed = 0;
   let timer: TimerHandle | undefined;
-  let alive = true;
-  let refused = 0;
+  let isEngineAlive = true;
+  let refusedCount = 0;
   let busyMs = 0;
   let busySinceMs = 0;
 
-  function noteBusy(): void {
+  function updateBusySlotTime(): void {
     busyMs += reserved.size * (clock.nowMs() - busySinceMs);
     busySinceMs = clock.nowMs();
   }
 
-  function free(requestId: string): void {
+  function release(requestId: string): void {
     const bytes = reserved.get(requestId);
     if (bytes === undefined) return;
-    noteBusy();
+    updateBusySlotTime();
     kvUsed -= bytes;
     reserved.delete(requestId);
     sessions.delete(requestId);
@@ -247,7 +247,7 @@
         session.tokens++;
         session.onToken(session.tokens, stepMs);
         if (session.tokens < session.answerTokens) continue;
-        free(session.requestId);
+        release(session.requestId);
         session.onEnd();
       }
       scheduleStep();
@@ -259,44 +259,44 @@
     linkFreeAtMs: 0,
     slowness: 1,
     reserve(requestId, bytes) {
-      if (!alive) return false;
+      if (!isEngineAlive) return false;
       if (reserved.size >= ENGINE.decodeSlots || kvUsed + bytes > kvBytes) {
-        refused++;
+        refusedCount++;
         return false;
       }
-      noteBusy();
+      updateBusySlotTime();
       reserved.set(requestId, bytes);
       kvUsed += bytes;
       return true;
     },
     start(session) {
-      if (!alive || !reserved.has(session.requestId)) {
+      if (!isEngineAlive || !reserved.has(session.requestId)) {
         session.onDeath();
         return;
       }
       sessions.set(session.requestId, session);
       scheduleStep();
     },
-    cancel: free,
+    cancel: release,
     die() {
-      noteBusy();
-      alive = false;
+      updateBusySlotTime();
+      isEngineAlive = false;
       if (timer) clock.clearTimer(timer);
       timer = undefined;
-      const dead = [...sessions.values()];
+      const interrupted = [...sessions.values()];
       sessions.clear();
       reserved.clear();
       kvUsed = 0;
-      for (const session of dead) session.onDeath();
+      for (const session of interrupted) session.onDeath();
     },
     revive() {
-      alive = true;
+      isEngineAlive = true;
     },
-    isAlive: () => alive,
+    isAlive: () => isEngineAlive,
     usedSlots: () => reserved.size,
-    refusedImports: () => refused,
+    refusedImports: () => refusedCount,
     busySlotMs() {
-      noteBusy();
+      updateBusySlotTime();
       return busyMs;
     },
     report: sequence => ({
--- a/bench/policy/faults.ts
+++ b/bench/policy/faults.ts
@@ -1,4 +1,4 @@
-/** Faults that a run may have, each a plan of changes to the fakes. */
+/** Faults of simulated runs; each schedules changes to the fake engines. */
 
 import type {VirtualClock} from '../../src/core/virtual_clock.js';
 import type {Random} from '../../src/ports/random.js';
@@ -22,11 +22,11 @@
   schedule() {},
 };
 
-/** Membership tells homes of a dead engine after this time. */
+/** Time after which membership reports a dead engine to its home. */
 const DEATH_NOTICE_MS = 1_000;
 const REBOOT_MS = 8_000;
 
-/** Times at which the lasting faults begin and end. */
+/** Start and end of the faults that last for a while. */
 export const FAULT_FROM_MS = 60_000;
 export const FAULT_UNTIL_MS = 100_000;
 
@@ -54,7 +54,7 @@
   );
 }
 
-/** One random engine dies every `everyMs` and is back some seconds later. */
+/** Kills a random engine every `everyMs` and restarts it `REBOOT_MS` later. */
 export function engineDeaths(everyMs: number, untilMs: number): FaultPlan {
   return {
     name: `a death each ${everyMs / 1_000} s`,
@@ -70,7 +70,7 @@
   };
 }
 
-/** One decode engine is slower and does not say so. */
+/** Slows down one engine, which its load reports don't mention. */
 export function slowEngine(
   role: 'prefill' | 'decode',
   factor: number,
@@ -90,7 +90,7 @@
   };
 }
 
-/** All engines of one failure domain go at once, and come back. */
+/** Kills all engines of one failure domain at once and restarts them later. */
 export function domainLost(domain: string): FaultPlan {
   return {
     name: 'domain lost and back',
--- a/bench/policy/ideas.ts
+++ b/bench/policy/ideas.ts
@@ -1,12 +1,15 @@
-/** Each policy idea switched on by itself, and off by itself. */
+/**
+ * Measures each feature of the policy by itself on top of the minimal policy,
+ * and the full policy without that feature.
+ */
 
 import {runSeeds} from './bars.js';
 import {
   BASELINES,
-  SINGLE_IDEAS,
-  WHOLE,
-  WITH_FORECAST,
-  WITHOUT_ONE,
+  SINGLE_FEATURES,
+  FULL_POLICY,
+  FULL_POLICY_WITH_IMPORT_RETRIES,
+  WITHOUT_ONE_FEATURE,
 } from './scheduler.js';
 import {printHeader, printRow} from './table.js';
 import {SHAPES} from './workload.js';
@@ -20,15 +23,15 @@
       'fifo',
       runSeeds(shape, BASELINES.get('fifo')!, seeds, {load: LOAD}),
     );
-    for (const [name, factory] of SINGLE_IDEAS) {
+    for (const [name, factory] of SINGLE_FEATURES) {
       printRow(name, runSeeds(shape, factory, seeds, {load: LOAD}));
     }
-    printRow('whole', runSeeds(shape, WHOLE, seeds, {load: LOAD}));
+    printRow('whole', runSeeds(shape, FULL_POLICY, seeds, {load: LOAD}));
     printRow(
       'whole+forecast',
-      runSeeds(shape, WITH_FORECAST, seeds, {load: LOAD}),
+      runSeeds(shape, FULL_POLICY_WITH_IMPORT_RETRIES, seeds, {load: LOAD}),
     );
-    for (const [name, factory] of WITHOUT_ONE) {
+    for (const [name, factory] of WITHOUT_ONE_FEATURE) {
       printRow(name, runSeeds(shape, factory, seeds, {load: LOAD}));
     }
   }
--- a/bench/policy/metrics.ts
+++ b/bench/policy/metrics.ts
@@ -1,4 +1,4 @@
-/** What one run is judged by. */
+/** Collects the metrics of one simulated run. */
 
 import {build, type Histogram} from 'hdr-histogram-js';
 import type {RequestClass} from '../../src/ports/grants.js';
@@ -17,36 +17,36 @@
 
 export interface RunResult {
   readonly offered: number;
-  /** Whole, within both latency targets and the wait. */
+  /** Requests answered in full, within both latency targets and the wait. */
   readonly good: number;
-  /** The most that capacity and arrivals allow. */
+  /** The largest possible `good`, given capacity and arrivals. */
   readonly bound: number;
   readonly goodShare: number;
-  /** Prompt tokens of good requests against those offered. */
+  /** Prompt tokens of good requests as a share of those offered. */
   readonly goodTokenShare: number;
   readonly lateFirst: number;
   readonly latePace: number;
   readonly prefills: number;
   readonly wastedPrefills: number;
-  /** Prompt tokens computed for nothing, as a share of those computed. */
+  /** Prompt tokens computed in vain as a share of all those computed. */
   readonly wastedTokenShare: number;
   readonly wastedShare: number;
   readonly ttftMs: Percentiles;
   readonly tokenIntervalMs: Percentiles;
   readonly jain: number;
   readonly outcomes: ReadonlyMap<string, number>;
-  /** Imports that engines refused for lack of room. */
+  /** Imports that engines refused for lack of a slot or memory. */
   readonly refusedImports: number;
-  /** Requests in no queue, with no grant and no answer. Must be 0. */
+  /** Requests that never ended. Must be 0. */
   readonly lost: number;
-  /** Engines whose books do not come back to zero. Must be 0. */
-  readonly openBooks: number;
+  /** Engines that still have reservations after the run. Must be 0. */
+  readonly enginesWithOpenReservations: number;
   readonly cachedTokenShare: number;
-  /** Good answers against the bound, by second of arrival. */
+  /** Good requests, by second of arrival. */
   readonly goodBySecond: readonly number[];
   readonly offeredBySecond: readonly number[];
   readonly capacityBySecond: readonly number[];
-  /** Refused callers that came back, and those of them then served. */
+  /** Refused callers that returned, and how many of them were then served. */
   readonly returned: number;
   readonly returnedServed: number;
   readonly goodShareByClass: Readonly<Record<RequestClass, number>>;
@@ -58,13 +58,13 @@
   readonly p99: number;
 }
 
-const HISTOGRAM_TOP_MS = 600_000;
+const HISTOGRAM_MAX_MS = 600_000;
 const MS_PER_SECOND = 1_000;
 
 function newHistogram(): Histogram {
   return build({
     lowestDiscernibleValue: 1,
-    highestTrackableValue: HISTOGRAM_TOP_MS,
+    highestTrackableValue: HISTOGRAM_MAX_MS,
     numberOfSignificantValueDigits: 3,
     useWebAssembly: false,
   });
@@ -133,12 +133,14 @@
   let wastedTokens = 0;
   let endedCount = 0;
 
-  function add(map: Map<string, number>, key: string): void {
+  function increment(map: Map<string, number>, key: string): void {
     map.set(key, (map.get(key) ?? 0) + 1);
   }
 
-  /** Whether it was served once, whole and within all its targets. */
-  function judge(end: RequestEnd): 'good' | 'late-first' | 'late-pace' {
+  /** Classifies a full answer by its latency targets and its wait. */
+  function classifyAnswer(
+    end: RequestEnd,
+  ): 'good' | 'late-first' | 'late-pace' {
     const {arrival} = end;
     const firstMs = end.firstTokenAtMs! - arrival.atMs;
     if (firstMs > arrival.ttftMs) return 'late-first';
@@ -150,7 +152,7 @@
   }
 
   return {
-    started(arrival: Arrival): void {
+    recordStart(arrival: Arrival): void {
       if (isMeasured(arrival) && arrival.returnCount > 0) returned++;
     },
     ended(end: RequestEnd): void {
@@ -158,21 +160,21 @@
       const {arrival} = end;
       if (!isMeasured(arrival)) return;
       const second = Math.floor(arrival.atMs / MS_PER_SECOND);
-      const isExpected = arrival.cancelAtMs === undefined;
-      add(outcomes, end.outcome);
+      const isWithoutCancellation = arrival.cancelAtMs === undefined;
+      increment(outcomes, end.outcome);
       if (end.firstTokenAtMs !== undefined) {
         ttft.recordValue(Math.round(end.firstTokenAtMs - arrival.atMs));
       }
       const isWhole = end.outcome === 'whole';
-      if (!isExpected && !isWhole) return;
+      if (!isWithoutCancellation && !isWhole) return;
       offered++;
       offeredTokens += arrival.promptTokens;
       offeredBySecond[second]++;
       offeredByClass[arrival.requestClass]++;
-      add(offeredByAccount, arrival.account);
+      increment(offeredByAccount, arrival.account);
       if (!isWhole) return;
       if (arrival.returnCount > 0) returnedServed++;
-      const verdict = judge(end);
+      const verdict = classifyAnswer(end);
       if (verdict === 'late-first') lateFirst++;
       if (verdict === 'late-pace') latePace++;
       if (verdict !== 'good') return;
@@ -180,7 +182,7 @@
       goodTokens += arrival.promptTokens;
       goodBySecond[second]++;
       goodByClass[arrival.requestClass]++;
-      add(goodByAccount, arrival.account);
+      increment(goodByAccount, arrival.account);
     },
     prefilled(arrival: Arrival, computed: number, cached: number): void {
       if (!isMeasured(arrival)) return;
@@ -188,8 +190,12 @@
       prefillTokens += computed;
       cachedTokens += cached;
     },
-    /** @param isWhole False for a prefill broken off before its end. */
-    wasted(arrival: Arrival, tokens: number, isWhole: boolean): void {
+    /** @param isWhole False for a prefill that was cancelled while it ran. */
+    recordWastedPrefill(
+      arrival: Arrival,
+      tokens: number,
+      isWhole: boolean,
+    ): void {
       if (!isMeasured(arrival)) return;
       wastedPrefills++;
       wastedTokens += tokens;
@@ -197,17 +203,17 @@
       prefills++;
       prefillTokens += tokens;
     },
-    token(arrival: Arrival, intervalMs: number): void {
+    recordTokenInterval(arrival: Arrival, intervalMs: number): void {
       if (isMeasured(arrival)) intervals.recordValue(Math.round(intervalMs));
     },
-    /** Requests each second that the healthy engines could carry now. */
-    noteCapacity(atMs: number, ratePerSecond: number): void {
+    /** Records the rate that the healthy engines can serve at that time. */
+    recordCapacity(atMs: number, ratePerSecond: number): void {
       capacityBySecond[Math.floor(atMs / MS_PER_SECOND)] = ratePerSecond;
     },
     result(
       arrivals: number,
       liveCount: number,
-      openBooks: number,
+      enginesWithOpenReservations: number,
       cluster: Cluster,
     ): RunResult {
       const fromSecond = plan.warmUpMs / MS_PER_SECOND;
@@ -243,7 +249,7 @@
         outcomes,
         refusedImports,
         lost: liveCount + (arrivals - endedCount - liveCount),
-        openBooks,
+        enginesWithOpenReservations,
         cachedTokenShare:
           cachedTokens / Math.max(1, cachedTokens + prefillTokens),
         goodBySecond,
--- a/bench/policy/plots.ts
+++ b/bench/policy/plots.ts
@@ -1,11 +1,11 @@
-/** Line charts as small SVG files, for the operators' page. */
+/** Writes the line charts of the operators' documentation as SVG files. */
 
 import {mkdirSync, writeFileSync} from 'node:fs';
 import path from 'node:path';
 import {runSeeds} from './bars.js';
-import {WASTE_WEIGHTS} from './knobs.js';
+import {WASTE_WEIGHTS} from './weights_and_returns.js';
 import type {RunResult} from './metrics.js';
-import {BASELINES, homeFactory, WHOLE} from './scheduler.js';
+import {BASELINES, dispatcherFactory, FULL_POLICY} from './scheduler.js';
 import {SHAPES, type Shape} from './workload.js';
 
 interface Line {
@@ -98,7 +98,7 @@
 }
 
 function plotLoads(shape: Shape, seeds: number): void {
-  const policies = [['corianderbend', WHOLE] as const, ...BASELINES];
+  const policies = [['corianderbend', FULL_POLICY] as const, ...BASELINES];
   const goodput: Line[] = [];
   const waste: Line[] = [];
   for (const [name, factory] of policies) {
@@ -139,7 +139,10 @@
   const waste: Line[] = [];
   for (const shape of Object.values(SHAPES)) {
     const byWeight = WASTE_WEIGHTS.map(wasteWeight => {
-      const factory = homeFactory({}, {wasteWeight, hasImportRetries: true});
+      const factory = dispatcherFactory(
+        {},
+        {wasteWeight, hasImportRetries: true},
+      );
       return [
         wasteWeight,
         runSeeds(shape, factory, seeds, {load: 1.3}),
--- a/bench/policy/scheduler.ts
+++ b/bench/policy/scheduler.ts
@@ -1,4 +1,8 @@
-/** What the bench's entry asks of a policy, the real home or a baseline. */
+/**
+ * The interface between the simulated entry and a scheduler, and the
+ * schedulers to compare: the real dispatcher with its features switched on or
+ * off, and simple baselines.
+ */
 
 import type {Clock} from '../../src/ports/clock.js';
 import type {CacheEvent, EngineLoadReport} from '../../src/ports/engine.js';
@@ -26,8 +30,8 @@
   applyLoadReport(report: EngineLoadReport): void;
   applyCacheEvents(engineId: string, events: readonly CacheEvent[]): void;
   removeEngine(engineId: string): void;
-  /** Another decode engine after a refused import; baselines only. */
-  repick?(engineId: string): string;
+  /** Chooses a decode engine after a refused import; baselines only. */
+  pickOtherDecodeEngine?(engineId: string): string;
   engineUsage(): readonly EngineUsage[];
   stop(): void;
 }
@@ -38,8 +42,8 @@
   shape: Shape,
 ) => Scheduler;
 
-/** First guesses near the truth, as an operator would set them. */
-export const GUESSES = {
+/** Estimates close to the fakes' real figures, as an operator would set them. */
+export const INITIAL_ESTIMATES = {
   prefillOverheadMs: ENGINE.prefillOverheadMs,
   prefillMsPerToken: 1 / ENGINE.prefillTokensPerMs,
   kvBytesPerToken: ENGINE.kvBytesPerToken,
@@ -47,7 +51,7 @@
   tokenIntervalMs: 45,
 };
 
-export function homeFactory(
+export function dispatcherFactory(
   policy: Partial<SchedulingPolicy>,
   changes: Partial<DispatcherOptions> = {},
 ): SchedulerFactory {
@@ -65,15 +69,15 @@
         },
         wasteWeight: shape.wasteWeight,
         maxQueued: 2_000,
-        initialEstimates: GUESSES,
+        initialEstimates: INITIAL_ESTIMATES,
         policy,
         ...changes,
       },
     );
 }
 
-/** Every idea switched off: books of slots and memory, order of arrival. */
-export const BARE_POLICY: SchedulingPolicy = createPolicy(1, {
+/** Only reserves slots and memory, in order of arrival; no other feature. */
+export const MINIMAL_POLICY: SchedulingPolicy = createPolicy(1, {
   order: 'arrival',
   refuseEarly: false,
   isFair: false,
@@ -87,7 +91,7 @@
 
 type Pick = (engines: readonly EngineDescription[]) => EngineDescription;
 
-/** Chooses both engines at once, by lagging knowledge, and promises nothing. */
+/** Chooses both engines at once from delayed reports, without reservations. */
 function createBaseline(
   makePick: (
     random: Random,
@@ -99,10 +103,12 @@
     const pick = makePick(random, reports);
     let engines: readonly EngineDescription[] = [];
     let count = 0;
-    const gone = new Set<string>();
+    const removedEngineIds = new Set<string>();
 
     const ofRole = (role: string) =>
-      engines.filter(each => each.role === role && !gone.has(each.engineId));
+      engines.filter(
+        each => each.role === role && !removedEngineIds.has(each.engineId),
+      );
 
     return {
       ask(_request, reply) {
@@ -130,16 +136,16 @@
       report() {},
       setEngines(next) {
         engines = next;
-        gone.clear();
+        removedEngineIds.clear();
       },
       applyLoadReport(report) {
         reports.set(report.engineId, report);
       },
       applyCacheEvents() {},
       removeEngine(engineId) {
-        gone.add(engineId);
+        removedEngineIds.add(engineId);
       },
-      repick(engineId) {
+      pickOtherDecodeEngine(engineId) {
         const decodes = ofRole('decode');
         return decodes.length === 0 ? engineId : pick(decodes).engineId;
       },
@@ -185,11 +191,11 @@
   ['random', randomPick],
   ['round-robin', roundRobin],
   ['least-loaded', leastLoaded],
-  ['fifo', homeFactory(BARE_POLICY)],
+  ['fifo', dispatcherFactory(MINIMAL_POLICY)],
 ]);
 
-/** Each idea alone on top of first-in first-out with books. */
-export const SINGLE_IDEAS: ReadonlyMap<string, SchedulerFactory> = new Map(
+/** The minimal policy with one feature switched on. */
+export const SINGLE_FEATURES: ReadonlyMap<string, SchedulerFactory> = new Map(
   (
     [
       ['+deadline order', {order: 'deadline'}],
@@ -201,28 +207,31 @@
       ['+health', {watchHealth: true}],
       ['+scan past', {scanLimit: 16}],
     ] satisfies [string, Partial<SchedulingPolicy>][]
-  ).map(([name, change]) => [name, homeFactory({...BARE_POLICY, ...change})]),
+  ).map(([name, change]) => [
+    name,
+    dispatcherFactory({...MINIMAL_POLICY, ...change}),
+  ]),
 );
 
-/** The whole policy, and the whole without one idea. */
-export const WHOLE: SchedulerFactory = homeFactory({});
-
-/** As `WHOLE`, when entries repeat imports that find no room. */
-export const WITH_FORECAST: SchedulerFactory = homeFactory(
-  {},
-  {hasImportRetries: true},
-);
-
-export const WITHOUT_ONE: ReadonlyMap<string, SchedulerFactory> = new Map(
-  (
-    [
-      ['-deadline order', {order: 'arrival'}],
-      ['-refuse early', {refuseEarly: false}],
-      ['-fair', {isFair: false}],
-      ['-link timetable', {scheduleLinks: false}],
-      ['-prefix cache', {usePrefixCache: false}],
-      ['-health', {watchHealth: false}],
-      ['-scan past', {scanLimit: 1}],
-    ] satisfies [string, Partial<SchedulingPolicy>][]
-  ).map(([name, change]) => [name, homeFactory(change)]),
-);
+/** The policy with its default settings. */
+export const FULL_POLICY: SchedulerFactory = dispatcherFactory({});
+
+/** As `FULL_POLICY`, with entries that retry refused imports. */
+export const FULL_POLICY_WITH_IMPORT_RETRIES: SchedulerFactory =
+  dispatcherFactory({}, {hasImportRetries: true});
+
+/** The full policy with one feature switched off. */
+export const WITHOUT_ONE_FEATURE: ReadonlyMap<string, SchedulerFactory> =
+  new Map(
+    (
+      [
+        ['-deadline order', {order: 'arrival'}],
+        ['-refuse early', {refuseEarly: false}],
+        ['-fair', {isFair: false}],
+        ['-link timetable', {scheduleLinks: false}],
+        ['-prefix cache', {usePrefixCache: false}],
+        ['-health', {watchHealth: false}],
+        ['-scan past', {scanLimit: 1}],
+      ] satisfies [string, Partial<SchedulingPolicy>][]
+    ).map(([name, change]) => [name, dispatcherFactory(change)]),
+  );
--- a/bench/policy/shards.ts
+++ b/bench/policy/shards.ts
@@ -1,6 +1,6 @@
 /**
- * Four shards, one in each failure domain, and entries that choose among
- * their homes from summaries that lag. Most callers come to one entry.
+ * Simulates four shards, one in each failure domain, and entries that choose
+ * among their homes by delayed summaries. Most callers use the same entry.
  */
 
 import type {ShardWeights} from '../../src/core/scheduling/shard_score.js';
@@ -17,7 +17,7 @@
 import {FIRST_SEED} from './bars.js';
 import {NO_FAULT} from './faults.js';
 import type {RunResult} from './metrics.js';
-import {GUESSES, type SchedulerFactory} from './scheduler.js';
+import {INITIAL_ESTIMATES, type SchedulerFactory} from './scheduler.js';
 import {DEFAULT_PLAN, runOnceAsync} from './simulation.js';
 import {percent, printHeader, printRow} from './table.js';
 import {SHAPES, type Shape} from './workload.js';
@@ -39,26 +39,29 @@
 interface ChoiceCase {
   readonly name: string;
   readonly weights?: Partial<ShardWeights>;
-  readonly spillMs?: number;
-  readonly maxBusy?: number;
-  /** Shards that an entry looks at. */
-  readonly sees: (view: ShardView, ownDomain: string) => boolean;
+  readonly otherDomainScoreMs?: number;
+  readonly maxBusyHomes?: number;
+  /** Whether an entry of `ownDomain` considers the shard. */
+  readonly isVisible: (view: ShardView, ownDomain: string) => boolean;
 }
 
-const all = () => true;
+const everyShard = () => true;
 
 const CASES: readonly ChoiceCase[] = [
-  {name: 'as it ships', sees: all},
-  {name: 'own domain only', sees: (view, own) => view.failureDomain === own},
-  {name: 'summaries alone', weights: {shortSlotMs: 0}, sees: all},
+  {name: 'as it ships', isVisible: everyShard},
+  {
+    name: 'own domain only',
+    isVisible: (view, own) => view.failureDomain === own,
+  },
+  {name: 'summaries alone', weights: {shortSlotMs: 0}, isVisible: everyShard},
   {
     name: 'no preference',
     weights: {crossDomainMs: 0},
-    spillMs: -1e6,
-    sees: all,
+    otherDomainScoreMs: -1e6,
+    isVisible: everyShard,
   },
-  {name: 'one ask', maxBusy: 1, sees: all},
-  {name: 'four asks', maxBusy: 4, sees: all},
+  {name: 'one ask', maxBusyHomes: 1, isVisible: everyShard},
+  {name: 'four asks', maxBusyHomes: 4, isVisible: everyShard},
 ];
 
 interface Published {
@@ -66,7 +69,7 @@
   readonly atMs: number;
 }
 
-function makeFactory(choiceCase: ChoiceCase): SchedulerFactory {
+function createSchedulerFactory(choiceCase: ChoiceCase): SchedulerFactory {
   return (clock, random, shape) => {
     const host = {clock, random, log: silentLog};
     const homes: ShardHome[] = shape.domains.map(domain =>
@@ -81,7 +84,7 @@
         },
         wasteWeight: shape.wasteWeight,
         maxQueued: 2_000,
-        initialEstimates: GUESSES,
+        initialEstimates: INITIAL_ESTIMATES,
       }),
     );
     const published = new Map<string, Published>();
@@ -102,27 +105,27 @@
     const views = (): ShardView[] =>
       homes.map((home, i) => {
         const domain = shape.domains[i];
-        const known = published.get(domain);
+        const publishedSummary = published.get(domain);
         return {
           shardId: domain,
           failureDomain: domain,
           grantPort: home,
-          summary: known?.summary,
-          ageMs: known ? clock.nowMs() - known.atMs : 0,
+          summary: publishedSummary?.summary,
+          ageMs: publishedSummary ? clock.nowMs() - publishedSummary.atMs : 0,
         };
       });
     const entries: ShardChoice[] = shape.domains.map(ownFailureDomain =>
       createShardChoice(host, {
         ownFailureDomain,
         shards: () =>
-          views().filter(view => choiceCase.sees(view, ownFailureDomain)),
+          views().filter(view => choiceCase.isVisible(view, ownFailureDomain)),
         weights: choiceCase.weights,
-        otherDomainScoreMs: choiceCase.spillMs,
-        maxBusyHomes: choiceCase.maxBusy,
+        otherDomainScoreMs: choiceCase.otherDomainScoreMs,
+        maxBusyHomes: choiceCase.maxBusyHomes,
       }),
     );
-    const grantOwners = new Map<string, Parameters<ShardChoice['report']>[0]>();
-    const entryOf = new Map<string, ShardChoice>();
+    const grantsById = new Map<string, Parameters<ShardChoice['report']>[0]>();
+    const entriesByGrantId = new Map<string, ShardChoice>();
 
     function pickEntry(): ShardChoice {
       if (random.nextFloat() < FIRST_ENTRY_SHARE) return entries[0];
@@ -135,20 +138,20 @@
         const entry = pickEntry();
         void entry.request(request, controller.signal).then(outcome => {
           if (outcome.kind === 'granted') {
-            grantOwners.set(outcome.grantId, outcome);
-            entryOf.set(outcome.grantId, entry);
+            grantsById.set(outcome.grantId, outcome);
+            entriesByGrantId.set(outcome.grantId, entry);
           }
           reply(outcome);
         });
         return {cancel: () => controller.abort()};
       },
       report(grantId, progress) {
-        const grant = grantOwners.get(grantId);
+        const grant = grantsById.get(grantId);
         if (!grant) return;
-        entryOf.get(grantId)!.report(grant, progress);
+        entriesByGrantId.get(grantId)!.report(grant, progress);
         if (progress.kind !== 'ended') return;
-        grantOwners.delete(grantId);
-        entryOf.delete(grantId);
+        grantsById.delete(grantId);
+        entriesByGrantId.delete(grantId);
       },
       setEngines(engines) {
         homes.forEach((home, i) =>
@@ -190,7 +193,7 @@
           load,
           faults: NO_FAULT,
         };
-        runs.push(await runOnceAsync(plan, makeFactory(each)));
+        runs.push(await runOnceAsync(plan, createSchedulerFactory(each)));
       }
       printRow(each.name, runs);
     }
--- a/bench/policy/simulation.ts
+++ b/bench/policy/simulation.ts
@@ -1,6 +1,6 @@
 /**
- * One run: seeded arrivals, an entry that carries out grants against the
- * engine fakes, and a closed book over every request.
+ * One simulated run: seeded arrivals and an entry that executes grants on the
+ * fake engines. Every request is tracked until it ends.
  */
 
 import {createSeededRandom} from '../../src/core/seeded_random.js';
@@ -38,7 +38,7 @@
   readonly reportLagMs: number;
   readonly cacheLossShare: number;
   readonly cancelShare: number;
-  /** How often a refused caller comes back, at the time it was told. */
+  /** How often a refused caller retries, at the time advised by the refusal. */
   readonly returns: number;
   readonly faults: FaultPlan;
 }
@@ -54,19 +54,19 @@
 
 const ENTRY_TO_HOME_MS = 1.5;
 const ENTRY_TO_ENGINE_MS = 1.5;
-/** Callers are three milliseconds away, each way. */
+/** A latency of 3 ms in each direction. */
 const CALLER_ROUND_TRIP_MS = 6;
 const REPORT_EVERY_MS = 200;
 const CAPACITY_EVERY_MS = 1_000;
 const CACHE_EVENTS_EVERY_MS = 500;
 const IMPORT_RETRY_MS = 20;
-const RENEW_MS = 1_000;
-const MAX_ASKS = 3;
+const RENEW_INTERVAL_MS = 1_000;
+const MAX_GRANT_REQUESTS = 3;
 const DRAIN_MS = 400_000;
 const DRAIN_STEP_MS = 5_000;
 const PREFILL_KV_BYTES = 40_000_000_000;
 
-/** Where one request stands; the closed book counts these. */
+/** The stage that a request has reached. */
 type Step = 'asking' | 'prefilling' | 'importing' | 'decoding' | 'ended';
 
 export interface Cluster {
@@ -75,7 +75,7 @@
   readonly descriptions: readonly EngineDescription[];
 }
 
-function makeCluster(
+function createCluster(
   clock: ReturnType<typeof createVirtualClock>,
   shape: Shape,
   capacity: Capacity,
@@ -93,7 +93,7 @@
       role: isPrefill ? 'prefill' : 'decode',
       failureDomain: shape.domains[i % shape.domains.length],
       models: [],
-      slots: isPrefill ? ENGINE.prefillPlaces : ENGINE.decodeSlots,
+      slots: isPrefill ? ENGINE.prefillQueueSlots : ENGINE.decodeSlots,
       kvBytes,
       linkBytesPerMs: ENGINE.linkBytesPerMs,
     });
@@ -106,48 +106,56 @@
   return {prefills, decodes, descriptions};
 }
 
-interface Running {
+interface ActiveRequest {
   readonly arrival: Arrival;
   step: Step;
-  asks: number;
+  grantRequestCount: number;
   ticket?: GrantTicket;
   grant?: Grant;
   decodeId?: string;
   tokens: number;
   firstTokenAtMs?: number;
   lastTokenAtMs?: number;
-  /** Guards against events of an earlier attempt. */
+  /** Identifies the current attempt; events of earlier ones are ignored. */
   attempt: number;
 }
 
-/** One run, set up and not yet started. */
+/** A run that is set up but not started yet. */
 interface PreparedRun {
   readonly clock: VirtualClock;
   readonly totalMs: number;
-  hasLive(): boolean;
+  hasActiveRequests(): boolean;
   result(): RunResult;
 }
 
-/** Runs at full speed; for policies that answer without promises. */
+/** Runs synchronously, for schedulers that reply without promises. */
 export function runOnce(plan: RunPlan, factory: SchedulerFactory): RunResult {
   const run = prepareRun(plan, factory);
   run.clock.advanceSync(run.totalMs);
-  // Lets everything end; the books may close a moment after the last answer.
-  for (let ms = 0; ms < DRAIN_MS && run.hasLive(); ms += DRAIN_STEP_MS) {
+  // Reservations may be released shortly after the last answer ends.
+  for (
+    let ms = 0;
+    ms < DRAIN_MS && run.hasActiveRequests();
+    ms += DRAIN_STEP_MS
+  ) {
     run.clock.advanceSync(DRAIN_STEP_MS);
   }
   run.clock.advanceSync(2 * DRAIN_STEP_MS);
   return run.result();
 }
 
-/** As `runOnce`, letting promises settle after each timer. */
+/** As `runOnce`, but lets promises settle after each timer. */
 export async function runOnceAsync(
   plan: RunPlan,
   factory: SchedulerFactory,
 ): Promise<RunResult> {
   const run = prepareRun(plan, factory);
   await run.clock.advance(run.totalMs);
-  for (let ms = 0; ms < DRAIN_MS && run.hasLive(); ms += DRAIN_STEP_MS) {
+  for (
+    let ms = 0;
+    ms < DRAIN_MS && run.hasActiveRequests();
+    ms += DRAIN_STEP_MS
+  ) {
     await run.clock.advance(DRAIN_STEP_MS);
   }
   await run.clock.advance(2 * DRAIN_STEP_MS);
@@ -160,19 +168,20 @@
   const random = createSeededRandom(plan.seed);
   const policyRandom = createSeededRandom(plan.seed + 7_919);
   const capacity = bestSplit(shape);
-  const cluster = makeCluster(clock, shape, capacity);
+  const cluster = createCluster(clock, shape, capacity);
   const scheduler: Scheduler = factory(clock, policyRandom, shape);
   const metrics = createMetrics(plan, capacity);
-  const live = new Set<Running>();
+  const activeRequests = new Set<ActiveRequest>();
   scheduler.setEngines(cluster.descriptions);
 
-  const later = (delayMs: number, run: () => void) =>
+  const schedule = (delayMs: number, run: () => void) =>
     clock.setTimer(delayMs, run);
-  const send = (run: () => void) => later(ENTRY_TO_HOME_MS, run);
+  const scheduleAfterHomeDelay = (run: () => void) =>
+    schedule(ENTRY_TO_HOME_MS, run);
 
-  function finish(request: Running, outcome: string): void {
+  function finish(request: ActiveRequest, outcome: string): void {
     request.step = 'ended';
-    live.delete(request);
+    activeRequests.delete(request);
     metrics.ended({
       arrival: request.arrival,
       outcome,
@@ -183,7 +192,7 @@
     });
   }
 
-  function toGrantRequest(request: Running): GrantRequest {
+  function toGrantRequest(request: ActiveRequest): GrantRequest {
     const {arrival} = request;
     const usedMs = clock.nowMs() - arrival.atMs;
     const hasStarted = request.firstTokenAtMs !== undefined;
@@ -205,21 +214,21 @@
     };
   }
 
-  function ask(request: Running): void {
+  function requestGrant(request: ActiveRequest): void {
     request.step = 'asking';
-    request.asks++;
+    request.grantRequestCount++;
     request.attempt++;
     const {attempt} = request;
-    send(() => {
+    scheduleAfterHomeDelay(() => {
       if (request.step === 'ended' || request.attempt !== attempt) return;
       request.ticket = scheduler.ask(toGrantRequest(request), outcome =>
-        send(() => onOutcome(request, attempt, outcome)),
+        scheduleAfterHomeDelay(() => onOutcome(request, attempt, outcome)),
       );
     });
   }
 
   function onOutcome(
-    request: Running,
+    request: ActiveRequest,
     attempt: number,
     outcome: Grant | GrantRefusal,
   ): void {
@@ -227,28 +236,28 @@
     if (outcome.kind === 'refused') {
       if (isStale) return;
       finish(request, `refused:${outcome.reason}`);
-      comeBack(request, outcome.retryAfterMs);
+      scheduleReturn(request, outcome.retryAfterMs);
       return;
     }
     if (isStale) {
-      // The caller hung up while the grant was on its way.
+      // The request ended or was retried before the grant arrived.
       reportEnd(outcome, 'cancelled', request.tokens, false);
       return;
     }
     request.grant = outcome;
     request.decodeId = outcome.decodeEngineId;
-    later(Math.max(outcome.startInMs, ENTRY_TO_ENGINE_MS), () =>
+    schedule(Math.max(outcome.startInMs, ENTRY_TO_ENGINE_MS), () =>
       startPrefill(request, outcome),
     );
   }
 
-  /** A refused caller asks anew, with fresh targets, when it was told to. */
-  function comeBack(request: Running, retryAfterMs: number): void {
+  /** Schedules a new request of a refused caller, with new targets. */
+  function scheduleReturn(request: ActiveRequest, retryAfterMs: number): void {
     const {arrival} = request;
     const atMs = clock.nowMs() + retryAfterMs;
     const lastMs = plan.warmUpMs + plan.durationMs;
     if (arrival.returnCount >= plan.returns || atMs >= lastMs) return;
-    later(retryAfterMs, () =>
+    schedule(retryAfterMs, () =>
       start({
         ...arrival,
         id: nextId++,
@@ -265,7 +274,7 @@
     prefillWasted: boolean,
     failedEngineId?: string,
   ): void {
-    send(() =>
+    scheduleAfterHomeDelay(() =>
       scheduler.report(grant.grantId, {
         kind: 'ended',
         result,
@@ -276,79 +285,84 @@
     );
   }
 
-  function isCurrent(request: Running, grant: Grant): boolean {
+  function isCurrent(request: ActiveRequest, grant: Grant): boolean {
     return request.step !== 'ended' && request.grant === grant;
   }
 
-  function startPrefill(request: Running, grant: Grant): void {
+  function startPrefill(request: ActiveRequest, grant: Grant): void {
     if (!isCurrent(request, grant)) return;
     request.step = 'prefilling';
     const engine = cluster.prefills.get(grant.prefillEngineId)!;
-    send(() => scheduler.report(grant.grantId, {kind: 'prefill-started'}));
+    scheduleAfterHomeDelay(() =>
+      scheduler.report(grant.grantId, {kind: 'prefill-started'}),
+    );
     engine.submit({
       requestId: `r${request.arrival.id}`,
       promptTokens: request.arrival.promptTokens + request.tokens,
       prefixHashes: request.arrival.prefixHashes,
-      done: cachedTokens => onPrefilled(request, grant, cachedTokens),
-      died: () =>
-        later(ENTRY_TO_ENGINE_MS, () =>
+      onDone: cachedTokens => onPrefilled(request, grant, cachedTokens),
+      onDeath: () =>
+        schedule(ENTRY_TO_ENGINE_MS, () =>
           retry(request, grant, grant.prefillEngineId, false),
         ),
     });
   }
 
   function onPrefilled(
-    request: Running,
+    request: ActiveRequest,
     grant: Grant,
     cachedTokens: number,
   ): void {
     const tokens = request.arrival.promptTokens + request.tokens;
     metrics.prefilled(request.arrival, tokens - cachedTokens, cachedTokens);
     if (!isCurrent(request, grant)) {
-      metrics.wasted(request.arrival, tokens - cachedTokens, true);
+      metrics.recordWastedPrefill(request.arrival, tokens - cachedTokens, true);
       return;
     }
     request.step = 'importing';
     const kvSizeBytes = tokens * ENGINE.kvBytesPerToken;
-    later(ENTRY_TO_ENGINE_MS + ENTRY_TO_HOME_MS, () =>
+    schedule(ENTRY_TO_ENGINE_MS + ENTRY_TO_HOME_MS, () =>
       scheduler.report(grant.grantId, {
         kind: 'prefill-done',
         kvSizeBytes,
         cachedTokens,
       }),
     );
-    const expiresAtMs = clock.nowMs() + ENGINE.resultLifeMs;
+    const expiresAtMs = clock.nowMs() + ENGINE.prefillResultLifetimeMs;
     const spent = tokens - cachedTokens;
-    later(2 * ENTRY_TO_ENGINE_MS, () =>
+    schedule(2 * ENTRY_TO_ENGINE_MS, () =>
       tryImport(request, grant, kvSizeBytes, expiresAtMs, spent),
     );
   }
 
-  /** Pulls the result over both links, once the engine has room. */
+  /** Transfers the result over both links once the decode engine has capacity. */
   function tryImport(
-    request: Running,
+    request: ActiveRequest,
     grant: Grant,
     kvSizeBytes: number,
     expiresAtMs: number,
     spentTokens: number,
   ): void {
-    const waste = () => metrics.wasted(request.arrival, spentTokens, true);
+    const recordWaste = () =>
+      metrics.recordWastedPrefill(request.arrival, spentTokens, true);
     if (!isCurrent(request, grant)) {
-      waste();
+      recordWaste();
       return;
     }
     const nowMs = clock.nowMs();
     const source = cluster.prefills.get(grant.prefillEngineId)!;
     const target = cluster.decodes.get(request.decodeId!)!;
     if (!source.isAlive() || !target.isAlive()) {
-      waste();
-      const blamed = source.isAlive() ? target.engineId : source.engineId;
-      retry(request, grant, blamed, true);
+      recordWaste();
+      const failedEngineId = source.isAlive()
+        ? target.engineId
+        : source.engineId;
+      retry(request, grant, failedEngineId, true);
       return;
     }
     const startMs = Math.max(nowMs, source.linkFreeAtMs, target.linkFreeAtMs);
     if (nowMs >= expiresAtMs || startMs >= expiresAtMs) {
-      waste();
+      recordWaste();
       reportEnd(grant, 'failed', request.tokens, true);
       finish(request, 'failed:result-expired');
       return;
@@ -357,9 +371,9 @@
     const answerBytes =
       (request.arrival.maxTokens - request.tokens) * ENGINE.kvBytesPerToken;
     if (!target.reserve(requestId, kvSizeBytes + answerBytes)) {
-      if (scheduler.repick)
-        request.decodeId = scheduler.repick(target.engineId);
-      later(IMPORT_RETRY_MS, () =>
+      if (scheduler.pickOtherDecodeEngine)
+        request.decodeId = scheduler.pickOtherDecodeEngine(target.engineId);
+      schedule(IMPORT_RETRY_MS, () =>
         tryImport(request, grant, kvSizeBytes, expiresAtMs, spentTokens),
       );
       return;
@@ -367,17 +381,19 @@
     const endMs = startMs + kvSizeBytes / ENGINE.linkBytesPerMs;
     source.linkFreeAtMs = endMs;
     target.linkFreeAtMs = endMs;
-    later(endMs - nowMs, () => {
+    schedule(endMs - nowMs, () => {
       if (!isCurrent(request, grant)) {
-        waste();
+        recordWaste();
         target.cancel(requestId);
         return;
       }
       if (!target.isAlive() || !source.isAlive()) {
-        waste();
+        recordWaste();
         target.cancel(requestId);
-        const blamed = source.isAlive() ? target.engineId : source.engineId;
-        retry(request, grant, blamed, true);
+        const failedEngineId = source.isAlive()
+          ? target.engineId
+          : source.engineId;
+        retry(request, grant, failedEngineId, true);
         return;
       }
       startDecode(request, grant, target, spentTokens);
@@ -385,7 +401,7 @@
   }
 
   function startDecode(
-    request: Running,
+    request: ActiveRequest,
     grant: Grant,
     target: DecodeFake,
     spentTokens: number,
@@ -393,16 +409,18 @@
     request.step = 'decoding';
     const {arrival} = request;
     const tokensBefore = request.tokens;
-    send(() => scheduler.report(grant.grantId, {kind: 'decode-started'}));
+    scheduleAfterHomeDelay(() =>
+      scheduler.report(grant.grantId, {kind: 'decode-started'}),
+    );
     const renew = () => {
       if (!isCurrent(request, grant)) return;
       const tokensDelivered = request.tokens;
-      send(() =>
+      scheduleAfterHomeDelay(() =>
         scheduler.report(grant.grantId, {kind: 'renew', tokensDelivered}),
       );
-      later(RENEW_MS, renew);
+      schedule(RENEW_INTERVAL_MS, renew);
     };
-    later(RENEW_MS, renew);
+    schedule(RENEW_INTERVAL_MS, renew);
     target.start({
       requestId: `r${arrival.id}`,
       kvBytes: 0,
@@ -412,7 +430,7 @@
         request.tokens = count;
         request.firstTokenAtMs ??= clock.nowMs() + CALLER_ROUND_TRIP_MS;
         request.lastTokenAtMs = clock.nowMs() + CALLER_ROUND_TRIP_MS;
-        metrics.token(arrival, intervalMs);
+        metrics.recordTokenInterval(arrival, intervalMs);
       },
       onEnd() {
         reportEnd(grant, 'whole', request.tokens, false);
@@ -420,17 +438,17 @@
       },
       onDeath() {
         const isWasted = request.tokens === tokensBefore;
-        if (isWasted) metrics.wasted(arrival, spentTokens, true);
-        later(ENTRY_TO_ENGINE_MS, () =>
+        if (isWasted) metrics.recordWastedPrefill(arrival, spentTokens, true);
+        schedule(ENTRY_TO_ENGINE_MS, () =>
           retry(request, grant, target.engineId, isWasted),
         );
       },
     });
   }
 
-  /** After an engine's failure: another grant, from where the answer is. */
+  /** Requests another grant after an engine failure, to resume the answer. */
   function retry(
-    request: Running,
+    request: ActiveRequest,
     grant: Grant,
     failedEngineId: string,
     isWasted: boolean,
@@ -438,12 +456,13 @@
     if (!isCurrent(request, grant)) return;
     reportEnd(grant, 'failed', request.tokens, isWasted, failedEngineId);
     request.grant = undefined;
-    if (request.asks >= MAX_ASKS) finish(request, 'failed:engines');
-    else ask(request);
+    if (request.grantRequestCount >= MAX_GRANT_REQUESTS)
+      finish(request, 'failed:engines');
+    else requestGrant(request);
   }
 
-  /** The caller hangs up, or its whole wait has passed. */
-  function giveUp(request: Running, outcome: string): void {
+  /** Ends a request whose caller disconnected or whose wait has expired. */
+  function abandon(request: ActiveRequest, outcome: string): void {
     if (request.step === 'ended') return;
     request.ticket?.cancel();
     const {grant} = request;
@@ -452,7 +471,7 @@
       const spent = cluster.prefills
         .get(grant.prefillEngineId)!
         .cancel(requestId);
-      if (spent > 0) metrics.wasted(request.arrival, spent, false);
+      if (spent > 0) metrics.recordWastedPrefill(request.arrival, spent, false);
       if (request.step === 'decoding') {
         cluster.decodes.get(request.decodeId!)!.cancel(requestId);
       }
@@ -463,32 +482,32 @@
   }
 
   function start(arrival: Arrival): void {
-    metrics.started(arrival);
-    const request: Running = {
+    metrics.recordStart(arrival);
+    const request: ActiveRequest = {
       arrival,
       step: 'asking',
-      asks: 0,
+      grantRequestCount: 0,
       tokens: 0,
       attempt: 0,
     };
-    live.add(request);
-    ask(request);
-    later(arrival.waitMs, () => giveUp(request, 'failed:wait-passed'));
+    activeRequests.add(request);
+    requestGrant(request);
+    schedule(arrival.waitMs, () => abandon(request, 'failed:wait-passed'));
     if (arrival.cancelAtMs !== undefined) {
       const {cancelAtMs} = arrival;
-      later(cancelAtMs - arrival.atMs, () => giveUp(request, 'cancelled'));
+      schedule(cancelAtMs - arrival.atMs, () => abandon(request, 'cancelled'));
     }
   }
 
-  /** What the healthy engines could carry: the bound under faults. */
-  function noteCapacity(): void {
+  /** Records the rate that the healthy engines can serve: the bound under faults. */
+  function recordCapacity(): void {
     const count = (engines: Iterable<PrefillFake | DecodeFake>) =>
       [...engines].filter(each => each.isAlive() && each.slowness === 1).length;
     const prefillShare =
       count(cluster.prefills.values()) / capacity.prefillEngines;
     const decodeShare =
       count(cluster.decodes.values()) / capacity.decodeEngines;
-    metrics.noteCapacity(
+    metrics.recordCapacity(
       clock.nowMs(),
       Math.min(
         capacity.byPrefill * prefillShare,
@@ -499,7 +518,7 @@
     );
     const untilMs = plan.durationMs + plan.warmUpMs;
     if (clock.nowMs() + CAPACITY_EVERY_MS < untilMs) {
-      later(CAPACITY_EVERY_MS, noteCapacity);
+      schedule(CAPACITY_EVERY_MS, recordCapacity);
     }
   }
 
@@ -510,25 +529,25 @@
     ]) {
       if (!engine.isAlive()) continue;
       const report = engine.report(sequence);
-      later(plan.reportLagMs, () => scheduler.applyLoadReport(report));
+      schedule(plan.reportLagMs, () => scheduler.applyLoadReport(report));
     }
     if (clock.nowMs() < plan.durationMs + plan.warmUpMs) {
-      later(REPORT_EVERY_MS, () => publishReports(sequence + 1));
+      schedule(REPORT_EVERY_MS, () => publishReports(sequence + 1));
     }
   }
 
   function publishCacheEvents(): void {
     for (const engine of cluster.prefills.values()) {
-      const kept = engine
+      const deliveredEvents = engine
         .takeCacheEvents()
         .filter(() => random.nextFloat() >= plan.cacheLossShare);
-      if (kept.length === 0) continue;
-      later(plan.reportLagMs, () =>
-        scheduler.applyCacheEvents(engine.engineId, kept),
+      if (deliveredEvents.length === 0) continue;
+      schedule(plan.reportLagMs, () =>
+        scheduler.applyCacheEvents(engine.engineId, deliveredEvents),
       );
     }
     if (clock.nowMs() < plan.durationMs + plan.warmUpMs) {
-      later(CACHE_EVENTS_EVERY_MS, publishCacheEvents);
+      schedule(CACHE_EVENTS_EVERY_MS, publishCacheEvents);
     }
   }
 
@@ -542,23 +561,28 @@
     random,
   );
   let nextId = arrivals.length;
-  for (const arrival of arrivals) later(arrival.atMs, () => start(arrival));
+  for (const arrival of arrivals) schedule(arrival.atMs, () => start(arrival));
   publishReports(1);
-  noteCapacity();
+  recordCapacity();
   publishCacheEvents();
   plan.faults.schedule({clock, cluster, scheduler, random});
   function result(): RunResult {
-    const openBooks = scheduler
+    const openReservations = scheduler
       .engineUsage()
-      .filter(book => book.usedSlots > 0 || Math.abs(book.usedKvBytes) > 1);
+      .filter(usage => usage.usedSlots > 0 || Math.abs(usage.usedKvBytes) > 1);
     scheduler.stop();
-    return metrics.result(nextId, live.size, openBooks.length, cluster);
+    return metrics.result(
+      nextId,
+      activeRequests.size,
+      openReservations.length,
+      cluster,
+    );
   }
 
   return {
     clock,
     totalMs: plan.warmUpMs + plan.durationMs,
-    hasLive: () => live.size > 0,
+    hasActiveRequests: () => activeRequests.size > 0,
     result,
   };
 }
--- a/bench/policy/table.ts
+++ b/bench/policy/table.ts
@@ -1,4 +1,4 @@
-/** Prints runs as rows of a table: means over seeds, and the worst seed. */
+/** Prints the results of several seeds as a table row: means and worst seed. */
 
 import type {RunResult} from './metrics.js';
 
@@ -25,7 +25,7 @@
   (read: (run: RunResult) => number) => (runs: readonly RunResult[]) =>
     percent(mean(runs.map(read)));
 
-function refusals(runs: readonly RunResult[]): string {
+function summarizeOtherOutcomes(runs: readonly RunResult[]): string {
   const totals = new Map<string, number>();
   for (const run of runs) {
     for (const [outcome, count] of run.outcomes) {
@@ -104,7 +104,11 @@
     cell: runs =>
       `${average(run => run.lateFirst)(runs)}/${average(run => run.latePace)(runs)}`,
   },
-  {title: 'lost', width: 5, cell: average(run => run.lost + run.openBooks)},
+  {
+    title: 'lost',
+    width: 5,
+    cell: average(run => run.lost + run.enginesWithOpenReservations),
+  },
 ];
 
 const NAME_WIDTH = 18;
@@ -122,6 +126,6 @@
   console.log(
     name.padEnd(NAME_WIDTH) +
       columns.map(each => each.cell(runs).padStart(each.width)).join('') +
-      `  ${refusals(runs)}`,
+      `  ${summarizeOtherOutcomes(runs)}`,
   );
 }
--- a/bench/policy/takeover.ts
+++ b/bench/policy/takeover.ts
@@ -1,6 +1,6 @@
 /**
- * A shard that changes its home while engines run: the old home may be gone
- * for a while before the new one starts, or may go on beside it.
+ * Simulates a shard that changes its home under load. The new home starts
+ * some time after the old one stopped, or both run at once for a while.
  */
 
 import type {Clock} from '../../src/ports/clock.js';
@@ -14,9 +14,9 @@
 import {bestSplit} from './capacity_bound.js';
 import {ENGINE} from './engine_fakes.js';
 import {FAULT_FROM_MS} from './faults.js';
-import {runSeeds, windowShare} from './bars.js';
+import {runSeeds, goodShareInWindow} from './bars.js';
 import {
-  homeFactory,
+  dispatcherFactory,
   type Scheduler,
   type SchedulerFactory,
 } from './scheduler.js';
@@ -24,81 +24,86 @@
 import {SHAPES} from './workload.js';
 
 export interface TakeoverPlan {
-  /** Time with no home at all. */
-  readonly gapMs: number;
-  /** Time for which both homes give grants. */
-  readonly doubleMs: number;
-  /** Conservative time of the new home. */
+  /** Time between the stop of the old home and the start of the new one. */
+  readonly withoutHomeMs: number;
+  /** Time for which both homes issue grants. */
+  readonly overlapMs: number;
+  /** Time for which the new home grants conservatively. */
   readonly rebuildMs: number;
-  /** Entries announce their grants again this long after the start. */
+  /** Time after its start at which entries announce their grants to it. */
   readonly announceAfterMs: number;
 }
 
-export interface TakeoverWatch {
-  /** Most slots promised by both homes beyond an engine's own number. */
+export interface MaxExcess {
+  /** Largest number of slots granted by both homes beyond an engine's slots. */
   mostExcessSlots: number;
-  /** Most KV bytes promised by both beyond an engine's own, as a share. */
+  /** Largest KV memory granted beyond an engine's own, as a share of it. */
   mostExcessKvShare: number;
 }
 
-const WATCH_EVERY_MS = 20;
-const WATCH_UNTIL_MS = FAULT_FROM_MS + 20_000;
+const SAMPLE_INTERVAL_MS = 20;
+const SAMPLE_UNTIL_MS = FAULT_FROM_MS + 20_000;
 
-interface HeldGrant {
+interface TrackedGrant {
   readonly announced: AnnouncedGrant;
   home: Dispatcher;
 }
 
-/** A scheduler that hands the shard over at `FAULT_FROM_MS`. */
+/** A scheduler that changes the shard's home at `FAULT_FROM_MS`. */
 export function takeoverFactory(
   plan: TakeoverPlan,
-  watch: TakeoverWatch,
+  maxExcess: MaxExcess,
 ): SchedulerFactory {
   return (clock, random, shape) => {
-    const make = (homeEpoch: number, rebuildMs: number) =>
-      homeFactory({grantFromForecast: false}, {homeEpoch, rebuildMs})(
+    const createHome = (homeEpoch: number, rebuildMs: number) =>
+      dispatcherFactory({grantFromForecast: false}, {homeEpoch, rebuildMs})(
         clock,
         random,
         shape,
       ) as Scheduler & Dispatcher;
-    const old = make(1, 0);
-    let homes: (Scheduler & Dispatcher)[] = [old];
+    const oldHome = createHome(1, 0);
+    let homes: (Scheduler & Dispatcher)[] = [oldHome];
     let descriptions: Parameters<Scheduler['setEngines']>[0] = [];
-    const held = new Map<string, HeldGrant>();
+    const trackedGrants = new Map<string, TrackedGrant>();
 
     clock.setTimer(FAULT_FROM_MS, () => {
-      if (plan.doubleMs === 0) stopOld();
-      clock.setTimer(plan.gapMs, startNew);
+      if (plan.overlapMs === 0) stopOldHome();
+      clock.setTimer(plan.withoutHomeMs, startNewHome);
     });
 
-    function stopOld(): void {
-      old.stop();
-      homes = homes.filter(each => each !== old);
+    function stopOldHome(): void {
+      oldHome.stop();
+      homes = homes.filter(each => each !== oldHome);
     }
 
-    function startNew(): void {
-      const fresh = make(2, plan.rebuildMs);
-      fresh.setEngines(descriptions);
-      homes.push(fresh);
+    function startNewHome(): void {
+      const newHome = createHome(2, plan.rebuildMs);
+      newHome.setEngines(descriptions);
+      homes.push(newHome);
       clock.setTimer(plan.announceAfterMs, () => {
-        for (const own of held.values()) {
-          if (own.home !== old) continue;
-          fresh.adopt(own.announced);
-          if (plan.doubleMs === 0) own.home = fresh;
+        for (const tracked of trackedGrants.values()) {
+          if (tracked.home !== oldHome) continue;
+          newHome.adopt(tracked.announced);
+          if (plan.overlapMs === 0) tracked.home = newHome;
         }
       });
-      clock.setTimer(plan.doubleMs, () => {
-        if (plan.doubleMs === 0) return;
-        stopOld();
-        for (const own of held.values()) {
-          if (own.home !== old) continue;
-          fresh.adopt(own.announced);
-          own.home = fresh;
+      clock.setTimer(plan.overlapMs, () => {
+        if (plan.overlapMs === 0) return;
+        stopOldHome();
+        for (const tracked of trackedGrants.values()) {
+          if (tracked.home !== oldHome) continue;
+          newHome.adopt(tracked.announced);
+          tracked.home = newHome;
         }
       });
     }
 
-    watchExcess(clock, held, bestSplit(shape).decodeKvBytes, watch);
+    sampleExcess(
+      clock,
+      trackedGrants,
+      bestSplit(shape).decodeKvBytes,
+      maxExcess,
+    );
 
     return {
       ask(request: GrantRequest, reply: GrantReply): GrantTicket {
@@ -115,23 +120,23 @@
               isDecoding: false,
               tokensDelivered: request.resumeOffset,
             };
-            held.set(outcome.grantId, {announced, home});
+            trackedGrants.set(outcome.grantId, {announced, home});
           }
           reply(outcome);
         });
       },
       report(grantId: string, progress: GrantProgress): void {
-        const own = held.get(grantId);
-        if (!own) return;
-        // The old home may be gone; a new one knows what was announced.
-        own.home.report(grantId, progress);
+        const tracked = trackedGrants.get(grantId);
+        if (!tracked) return;
+        // The old home may have stopped; a new one knows the announced grants.
+        tracked.home.report(grantId, progress);
         for (const home of homes) {
-          if (home !== own.home) home.report(grantId, progress);
+          if (home !== tracked.home) home.report(grantId, progress);
         }
-        if (progress.kind === 'ended') held.delete(grantId);
+        if (progress.kind === 'ended') trackedGrants.delete(grantId);
         if (progress.kind !== 'decode-started') return;
-        const announced = {...own.announced, isDecoding: true};
-        held.set(grantId, {announced, home: own.home});
+        const announced = {...tracked.announced, isDecoding: true};
+        trackedGrants.set(grantId, {announced, home: tracked.home});
       },
       setEngines(engines) {
         descriptions = engines;
@@ -154,41 +159,48 @@
   };
 }
 
-interface Promised {
+interface GrantedResources {
   slots: number;
   kvBytes: number;
 }
 
-/** Adds up what both homes have promised of each decode engine. */
-function watchExcess(
+/** Samples the resources of each decode engine granted by both homes. */
+function sampleExcess(
   clock: Clock,
-  held: ReadonlyMap<string, HeldGrant>,
+  trackedGrants: ReadonlyMap<string, TrackedGrant>,
   kvBytes: number,
-  watch: TakeoverWatch,
+  maxExcess: MaxExcess,
 ): void {
-  const look = () => {
-    const byEngine = new Map<string, Promised>();
-    for (const {announced} of held.values()) {
+  const sample = () => {
+    const byEngine = new Map<string, GrantedResources>();
+    for (const {announced} of trackedGrants.values()) {
       const {grant, request} = announced;
-      const promised = byEngine.get(grant.decodeEngineId) ?? {
+      const granted = byEngine.get(grant.decodeEngineId) ?? {
         slots: 0,
         kvBytes: 0,
       };
       const tokens =
         request.promptTokenCount + request.resumeOffset + request.maxTokens;
-      promised.slots++;
-      promised.kvBytes += tokens * ENGINE.kvBytesPerToken;
-      byEngine.set(grant.decodeEngineId, promised);
+      granted.slots++;
+      granted.kvBytes += tokens * ENGINE.kvBytesPerToken;
+      byEngine.set(grant.decodeEngineId, granted);
     }
-    for (const promised of byEngine.values()) {
-      const excessSlots = promised.slots - ENGINE.decodeSlots;
-      const excessKv = promised.kvBytes / kvBytes - 1;
-      watch.mostExcessSlots = Math.max(watch.mostExcessSlots, excessSlots);
-      watch.mostExcessKvShare = Math.max(watch.mostExcessKvShare, excessKv);
+    for (const granted of byEngine.values()) {
+      const excessSlots = granted.slots - ENGINE.decodeSlots;
+      const excessKv = granted.kvBytes / kvBytes - 1;
+      maxExcess.mostExcessSlots = Math.max(
+        maxExcess.mostExcessSlots,
+        excessSlots,
+      );
+      maxExcess.mostExcessKvShare = Math.max(
+        maxExcess.mostExcessKvShare,
+        excessKv,
+      );
     }
-    if (clock.nowMs() < WATCH_UNTIL_MS) clock.setTimer(WATCH_EVERY_MS, look);
+    if (clock.nowMs() < SAMPLE_UNTIL_MS)
+      clock.setTimer(SAMPLE_INTERVAL_MS, sample);
   };
-  clock.setTimer(FAULT_FROM_MS, look);
+  clock.setTimer(FAULT_FROM_MS, sample);
 }
 
 interface TakeoverCase extends TakeoverPlan {
@@ -198,43 +210,43 @@
 const CASES: readonly TakeoverCase[] = [
   {
     name: 'hand-over, no gap',
-    gapMs: 0,
-    doubleMs: 0,
+    withoutHomeMs: 0,
+    overlapMs: 0,
     rebuildMs: 1_500,
     announceAfterMs: 50,
   },
   {
     name: 'home dies, 2 s gap',
-    gapMs: 2_000,
-    doubleMs: 0,
+    withoutHomeMs: 2_000,
+    overlapMs: 0,
     rebuildMs: 2_000,
     announceAfterMs: 200,
   },
   {
     name: 'home dies, 5 s gap',
-    gapMs: 5_000,
-    doubleMs: 0,
+    withoutHomeMs: 5_000,
+    overlapMs: 0,
     rebuildMs: 2_000,
     announceAfterMs: 200,
   },
   {
     name: 'two homes for 3 s',
-    gapMs: 0,
-    doubleMs: 3_000,
+    withoutHomeMs: 0,
+    overlapMs: 3_000,
     rebuildMs: 3_500,
     announceAfterMs: 200,
   },
   {
     name: 'two, no rebuilding',
-    gapMs: 0,
-    doubleMs: 3_000,
+    withoutHomeMs: 0,
+    overlapMs: 3_000,
     rebuildMs: 0,
     announceAfterMs: 200,
   },
   {
     name: 'two homes for 10 s',
-    gapMs: 0,
-    doubleMs: 10_000,
+    withoutHomeMs: 0,
+    overlapMs: 10_000,
     rebuildMs: 10_500,
     announceAfterMs: 200,
   },
@@ -243,22 +255,24 @@
 const LOADS = [0.9, 1.3] as const;
 const WINDOW_MS = 20_000;
 
-/** Excess of promises, refused imports and goodput around a takeover. */
+/** Prints excess grants, refused imports and goodput around a takeover. */
 export function runTakeovers(seeds: number): void {
   const shape = SHAPES.tammeoja;
   for (const load of LOADS) {
     printHeader(`${shape.name} at ${load}: the home changes at 60 s`);
     for (const each of CASES) {
-      const watch = {mostExcessSlots: 0, mostExcessKvShare: 0};
-      const runs = runSeeds(shape, takeoverFactory(each, watch), seeds, {load});
+      const maxExcess = {mostExcessSlots: 0, mostExcessKvShare: 0};
+      const runs = runSeeds(shape, takeoverFactory(each, maxExcess), seeds, {
+        load,
+      });
       printRow(each.name, runs);
       const window = runs.map(run =>
-        windowShare(run, FAULT_FROM_MS, FAULT_FROM_MS + WINDOW_MS),
+        goodShareInWindow(run, FAULT_FROM_MS, FAULT_FROM_MS + WINDOW_MS),
       );
       const worst = Math.min(...window);
       console.log(
-        `    most excess ${watch.mostExcessSlots} slots, ` +
-          `${percent(Math.max(0, watch.mostExcessKvShare))} of an engine's KV; ` +
+        `    most excess ${maxExcess.mostExcessSlots} slots, ` +
+          `${percent(Math.max(0, maxExcess.mostExcessKvShare))} of an engine's KV; ` +
           `goodput of the 20 s after: worst seed ${percent(worst)}; ` +
           `refused imports ${runs.map(run => run.refusedImports).join(' ')}`,
       );
--- a/bench/policy/knobs.ts
+++ b/bench/policy/weights_and_returns.ts
@@ -1,8 +1,11 @@
-/** What the waste weight of a service moves, and honest times to return. */
+/**
+ * Measures the effect of a service's waste weight, and whether callers that
+ * return at the advised retry time are served.
+ */
 
 import {runSeeds} from './bars.js';
 import {engineDeaths} from './faults.js';
-import {homeFactory, WHOLE} from './scheduler.js';
+import {dispatcherFactory, FULL_POLICY} from './scheduler.js';
 import {DEFAULT_PLAN} from './simulation.js';
 import {percent, printHeader, printRow} from './table.js';
 import {SHAPES} from './workload.js';
@@ -16,7 +19,10 @@
   for (const shape of Object.values(SHAPES)) {
     printHeader(`${shape.name} at ${LOAD}: waste weight, no fault`);
     for (const wasteWeight of WASTE_WEIGHTS) {
-      const factory = homeFactory({}, {wasteWeight, hasImportRetries: true});
+      const factory = dispatcherFactory(
+        {},
+        {wasteWeight, hasImportRetries: true},
+      );
       printRow(
         `weight ${wasteWeight}`,
         runSeeds(shape, factory, seeds, {load: LOAD}),
@@ -24,7 +30,10 @@
     }
     printHeader(`${shape.name} at ${LOAD}: waste weight, deaths and cancels`);
     for (const wasteWeight of WASTE_WEIGHTS) {
-      const factory = homeFactory({}, {wasteWeight, hasImportRetries: true});
+      const factory = dispatcherFactory(
+        {},
+        {wasteWeight, hasImportRetries: true},
+      );
       const runs = runSeeds(shape, factory, seeds, {
         load: LOAD,
         cancelShare: 0.05,
@@ -38,14 +47,17 @@
 const RETURN_LOADS = [1.05, 1.3, 2] as const;
 const RETURNS = 3;
 
-/** Refused callers come back when they were told to. */
+/** Runs in which refused callers retry at the time advised by the refusal. */
 export function runReturns(seeds: number): void {
   for (const shape of Object.values(SHAPES)) {
     printHeader(
       `${shape.name}: refused callers come back, up to ${RETURNS} times`,
     );
     for (const load of RETURN_LOADS) {
-      const runs = runSeeds(shape, WHOLE, seeds, {load, returns: RETURNS});
+      const runs = runSeeds(shape, FULL_POLICY, seeds, {
+        load,
+        returns: RETURNS,
+      });
       printRow(`load ${load}`, runs);
       const returned = runs.reduce((sum, run) => sum + run.returned, 0);
       const served = runs.reduce((sum, run) => sum + run.returnedServed, 0);
--- a/bench/policy/workload.ts
+++ b/bench/policy/workload.ts
@@ -1,4 +1,4 @@
-/** Seeded open-loop arrivals in the shapes of the two deployments. */
+/** Seeded open-loop arrivals that resemble the two deployments. */
 
 import type {Random} from '../../src/ports/random.js';
 import type {RequestClass} from '../../src/ports/grants.js';
@@ -8,10 +8,10 @@
   readonly service: string;
   readonly domains: readonly string[];
   readonly engines: number;
-  /** Prefill engines come in multiples of this; one for each shard. */
+  /** The number of prefill engines is a multiple of this: one per shard. */
   readonly prefillStep?: number;
   readonly wasteWeight: number;
-  /** Prompt lengths are log-normal, cut off on both sides. */
+  /** Prompt lengths are log-normal, limited on both sides. */
   readonly medianPromptTokens: number;
   readonly promptSigma: number;
   readonly medianAnswerTokens: number;
@@ -62,13 +62,13 @@
 export const MAX_PROMPT_TOKENS = 32_000;
 const MIN_ANSWER_TOKENS = 8;
 
-/** Hash blocks of a prompt, in tokens. */
+/** Tokens of a prompt that share one prefix hash. */
 export const BLOCK_TOKENS = 64;
 const SHARED_PREFIXES = 12;
 const SHARED_PREFIX_TOKENS = 768;
 const SHARED_PREFIX_SHARE = 0.4;
 
-/** One account asks for half of everything; the others share the rest. */
+/** Share of each account; one account sends half of all requests. */
 export const ACCOUNT_DEMAND: readonly number[] = [
   0.5, 0.14, 0.12, 0.1, 0.08, 0.06,
 ];
@@ -84,9 +84,9 @@
   readonly prefixHashes: readonly string[];
   readonly ttftMs: number;
   readonly waitMs: number;
-  /** The caller hangs up then, if the answer is not whole yet. */
+  /** Time at which the caller disconnects unless the answer is complete. */
   readonly cancelAtMs: number | undefined;
-  /** How often this caller was refused before. */
+  /** How often this caller was refused before this request. */
   readonly returnCount: number;
 }
 
@@ -114,15 +114,15 @@
 }
 
 function drawAccount(random: Random): string {
-  let left = random.nextFloat();
+  let remaining = random.nextFloat();
   for (let i = 0; i < ACCOUNT_DEMAND.length; i++) {
-    left -= ACCOUNT_DEMAND[i];
-    if (left < 0) return `account-${i}`;
+    remaining -= ACCOUNT_DEMAND[i];
+    if (remaining < 0) return `account-${i}`;
   }
   return 'account-0';
 }
 
-/** Popular prefixes come often: shares fall with the square. */
+/** Draws the index of a shared prefix; low ones are the most frequent. */
 function drawPrefix(random: Random): number {
   return Math.floor(SHARED_PREFIXES * random.nextFloat() ** 2);
 }
@@ -147,7 +147,7 @@
   readonly cancelShare: number;
 }
 
-/** Poisson arrivals; the same seed gives the same list to every policy. */
+/** Draws Poisson arrivals; with the same seed every policy gets the same. */
 export function drawArrivals(plan: ArrivalPlan, random: Random): Arrival[] {
   const {shape} = plan;
   const arrivals: Arrival[] = [];
