--- a/bench/check_model.ts
+++ b/bench/check_model.ts
@@ -1,6 +1,7 @@
 /**
- * `npm run check:model`: explores the models of leases, the hand-over and
- * configuration changes, and shows that each deliberate defect is caught.
+ * `npm run check:model`: explores the models of leases, of their release to a
+ * successor and of configuration changes, and checks that each deliberate
+ * defect is detected.
  * `--depth N` sets the depth of the lease models.
  */
 
@@ -12,7 +13,7 @@
 import {createLeaseModel, type LeaseDefect} from './check_model_lease.js';
 
 const DEFAULT_LEASE_DEPTH = 8;
-/** The longest shortest trace of a defect. */
+/** The largest number of steps that a shortest trace to a defect needs. */
 const DEFECT_DEPTH = 9;
 const CONFIGURATION_DEPTH = 40;
 const LEASE_BOUNDS = {
@@ -48,16 +49,16 @@
 }
 
 function check<State>(name: string, model: Model<State>, depth: number): void {
-  const found = explore(model, depth);
-  const extent = found.isComplete
-    ? `all states, ${found.depth} steps deep`
-    : `to depth ${found.depth}`;
-  const counts = `${found.states} states, ${found.transitions} transitions`;
+  const exploration = explore(model, depth);
+  const extent = exploration.isComplete
+    ? `all states, ${exploration.depth} steps deep`
+    : `to depth ${exploration.depth}`;
+  const counts = `${exploration.states} states, ${exploration.transitions} transitions`;
   print(`${name}: ${counts}, ${extent}`);
-  if (!found.violation) return;
+  if (!exploration.violation) return;
   failures++;
-  print(`  VIOLATION: ${found.violation.text}`);
-  found.violation.trace.forEach(label => print(`    ${label}`));
+  print(`  VIOLATION: ${exploration.violation.text}`);
+  exploration.violation.trace.forEach(label => print(`    ${label}`));
 }
 
 function checkDefect<State>(
--- a/bench/check_model_configuration.ts
+++ b/bench/check_model_configuration.ts
@@ -1,11 +1,11 @@
 /**
  * Model of configuration changes: two operators change revision 0 and a third
- * changes revision 1, over a network that delays, loses and reorders, with
- * crashes after which an operator asks again under the same change id.
+ * changes revision 1, over a network that delays, loses and reorders messages.
+ * After a crash an operator repeats its request with the same change id.
  *
- * Checked in each state: a revision never changes, whoever was told "accepted"
- * has that revision, whoever was told "lost" has none, and a host never goes
- * back.
+ * Invariants checked in each state: a revision never changes, an accepted
+ * change is the stored revision, a lost change is not, and a host never
+ * returns to an older revision.
  */
 
 import {
@@ -20,9 +20,9 @@
 import type {Model, Transition} from './check_model_explorer.js';
 import {applyTransaction, type TableState} from './check_model_table.js';
 
-/** Deliberate defects; each must be caught. */
+/** Deliberate defects; the checker must detect each of them. */
 export type ConfigurationDefect =
-  | 'rejected-is-lost' // Told "lost" without looking whose the revision is.
+  | 'rejected-is-lost' // Reports "lost" without checking who made the stored revision.
   | 'unknown-is-lost'
   | 'unknown-is-accepted'
   | 'no-conditions'
@@ -38,11 +38,11 @@
 
 interface Operator {
   readonly stage: Stage;
-  /** The send whose answer is awaited. */
-  readonly waitsFor: string;
+  /** Attempt id of the send whose answer is pending. */
+  readonly pendingAttempt: string;
 }
 
-interface Sent {
+interface Send {
   readonly by: number;
   readonly attempt: string;
   readonly transaction: TableTransaction;
@@ -57,12 +57,12 @@
 interface State {
   readonly table: TableState;
   readonly operators: readonly Operator[];
-  readonly network: readonly Sent[];
+  readonly network: readonly Send[];
   readonly answers: readonly Answer[];
   readonly sends: number;
   readonly lateAnswers: number;
   readonly crashes: number;
-  readonly inForce: number;
+  readonly adoptedRevision: number;
   readonly problem?: string;
 }
 
@@ -93,7 +93,7 @@
   }
 
   const setStage = (state: State, by: number, stage: Stage) =>
-    withOperator(state, by, {stage, waitsFor: ''});
+    withOperator(state, by, {stage, pendingAttempt: ''});
 
   function send(state: State, by: number): State {
     const attempt = `${NAMES[by]}${state.sends}`;
@@ -102,7 +102,7 @@
       defect === 'no-conditions' ? {...built, conditions: []} : built;
     const network = [...state.network, {by, attempt, transaction}];
     const next = {...state, network, sends: state.sends + 1};
-    return withOperator(next, by, {stage: 'waiting', waitsFor: attempt});
+    return withOperator(next, by, {stage: 'waiting', pendingAttempt: attempt});
   }
 
   function deliver(state: State, index: number, isLate: boolean): State {
@@ -123,11 +123,11 @@
   }
 
   function receive(state: State, {by, attempt, isApplied}: Answer): State {
-    const {stage, waitsFor} = state.operators[by];
-    if (stage !== 'waiting' || waitsFor !== attempt) return state;
+    const {stage, pendingAttempt} = state.operators[by];
+    if (stage !== 'waiting' || pendingAttempt !== attempt) return state;
     if (isApplied) return setStage(state, by, 'accepted');
-    const isHasty = defect === 'rejected-is-lost';
-    return setStage(state, by, isHasty ? 'lost' : 'must-read');
+    const isTreatedAsLost = defect === 'rejected-is-lost';
+    return setStage(state, by, isTreatedAsLost ? 'lost' : 'must-read');
   }
 
   function stopWaiting(state: State, by: number): State {
@@ -183,21 +183,23 @@
     return steps;
   }
 
-  /** News of revisions reach a host in any order, and more than once. */
+  /** Announced revisions reach a host in any order, possibly repeatedly. */
   function hostSteps(state: State): Transition<State>[] {
     return REVISIONS.filter(n => rowOf(state.table, n))
-      .filter(n => defect === 'adopt-any' || mayAdopt(state.inForce, n))
+      .filter(n => defect === 'adopt-any' || mayAdopt(state.adoptedRevision, n))
       .map(n => {
         const problem =
-          n < state.inForce ? `a host went back to ${n}` : state.problem;
+          n < state.adoptedRevision
+            ? `a host went back to ${n}`
+            : state.problem;
         return {
           label: `the host adopts ${n}`,
-          next: {...state, inForce: n, problem},
+          next: {...state, adoptedRevision: n, problem},
         };
       });
   }
 
-  function findUntruth(state: State): string | undefined {
+  function findWrongOutcome(state: State): string | undefined {
     for (const [by, {stage}] of state.operators.entries()) {
       const {changeId, basedOn} = changes[by];
       const isThere = ownerOf(state.table, basedOn + 1) === changeId;
@@ -207,7 +209,7 @@
     return undefined;
   }
 
-  const idle: Operator = {stage: 'idle', waitsFor: ''};
+  const idle: Operator = {stage: 'idle', pendingAttempt: ''};
   return {
     initial: {
       table: {},
@@ -217,12 +219,12 @@
       sends: 0,
       lateAnswers: 0,
       crashes: 0,
-      inForce: 0,
+      adoptedRevision: 0,
     },
     getKey: state =>
       [
         REVISIONS.map(n => ownerOf(state.table, n)).join(),
-        ...state.operators.map(o => o.stage + o.waitsFor),
+        ...state.operators.map(o => o.stage + o.pendingAttempt),
         state.network
           .map(sent => sent.attempt)
           .sort()
@@ -234,7 +236,7 @@
         state.sends,
         state.lateAnswers,
         state.crashes,
-        state.inForce,
+        state.adoptedRevision,
         state.problem,
       ].join('|'),
     transitions: state => [
@@ -242,6 +244,6 @@
       ...networkSteps(state),
       ...hostSteps(state),
     ],
-    findViolation: state => state.problem ?? findUntruth(state),
+    findViolation: state => state.problem ?? findWrongOutcome(state),
   };
 }
--- a/bench/check_model_explorer.ts
+++ b/bench/check_model_explorer.ts
@@ -1,10 +1,10 @@
 /**
- * A small explicit-state model checker: breadth first over all interleavings
- * up to a depth, so that a violation comes with a shortest trace.
+ * An explicit-state model checker. It searches all interleavings up to a given
+ * depth, breadth first, so that the trace of a violation is a shortest one.
  *
- * Seen states are kept as 53-bit hashes of their keys; two states that fall
- * on one hash would hide a part of the search (about 1 in 10,000 for a run of
- * a million states).
+ * Visited states are stored as 53-bit hashes of their keys. A hash collision
+ * would hide a part of the search; its probability is about 1 in 10,000 for a
+ * million states.
  */
 
 import {FNV_OFFSET, FNV_PRIME} from '../src/core/hash_text.js';
@@ -16,10 +16,10 @@
 
 export interface Model<State> {
   readonly initial: State;
-  /** Equal for states that have the same future. */
+  /** Returns the same key for states with the same future behavior. */
   getKey(state: State): string;
   transitions(state: State): readonly Transition<State>[];
-  /** What is wrong with a state; undefined when nothing is. */
+  /** Describes the violated invariant, if any. */
   findViolation(state: State): string | undefined;
 }
 
@@ -27,7 +27,7 @@
   readonly states: number;
   readonly transitions: number;
   readonly depth: number;
-  /** Whether no state was left unexplored within the model's bounds. */
+  /** Whether all states within the model's bounds were explored. */
   readonly isComplete: boolean;
   readonly violation?: {
     readonly text: string;
--- a/bench/check_model_lease.ts
+++ b/bench/check_model_lease.ts
@@ -1,11 +1,11 @@
 /**
- * Model of leases with fencing and of the hand-over: three processes, a
- * table, and a network that delays, loses and reorders. A pause is a process
- * that takes no step while others and the clocks go on.
+ * Model of leases with fencing and release to a successor: three processes, a
+ * table, and a network that delays, loses and reorders messages. A paused
+ * process takes no step while the others and the clocks proceed.
  *
- * Checked in each state: at most one process believes in the lease by its own
- * clock, and no write under a fence applied when its writer was not the
- * holder in the table.
+ * Two invariants are checked in each state: at most one process holds the
+ * lease by its own clock, and a fenced write applies only while the table
+ * names its writer as the holder.
  */
 
 import {
@@ -26,68 +26,68 @@
 import type {Model, Transition} from './check_model_explorer.js';
 import {applyTransaction, type TableState} from './check_model_table.js';
 
-/** Deliberate defects; each must be caught. */
+/** Deliberate defects; the checker must detect each of them. */
 export type LeaseDefect =
-  | 'seen-at-request' // The taker counts from when it asked for the row.
-  | 'held-from-answer' // The holder counts from when the answer came.
-  | 'no-fence' // Writes carry no condition on the epoch.
+  | 'seen-at-request' // Observations are timed from the request for the row.
+  | 'held-from-answer' // The lease is timed from the arrival of the answer.
+  | 'no-fence' // Writes have no condition on the epoch.
   | 'release-keeps-epoch'
   | 'take-unconditional'
-  | 'unknown-is-applied' // A lost answer is taken for a success.
-  | 'no-rate-error'; // Clock rates are taken to be equal.
+  | 'unknown-is-applied' // A lost answer is treated as success.
+  | 'no-rate-error'; // Clock rates are assumed to be equal.
 
 export interface LeaseBounds {
   readonly ticks: number;
   readonly sends: number;
-  /** Answers that come late or never. */
+  /** Answers that are delayed or lost. */
   readonly lateAnswers: number;
   /** Reads during which others take steps. */
   readonly slowReads: number;
   readonly crashes: number;
 }
 
-interface Sent {
+interface Send {
   readonly kind: 'take' | 'renew' | 'release' | 'work';
   readonly by: number;
-  /** Tells an answer apart from one to an earlier life of the process. */
-  readonly life: number;
+  /** Distinguishes answers to an earlier incarnation of the process. */
+  readonly incarnation: number;
   readonly sentAtMs: number;
   readonly name: string;
   readonly transaction: TableTransaction;
 }
 
 interface Answer {
-  readonly to: Sent;
+  readonly to: Send;
   readonly isApplied: boolean;
 }
 
 interface Process {
-  readonly life: number;
+  readonly incarnation: number;
   readonly held?: HeldRow;
   readonly heldUntilMs: number;
   readonly observation?: LeaseObservation;
   /** Row of the last read; null: read and absent. */
   readonly row?: TableRow | null;
-  /** A slow read; without a row the table has yet to serve it. */
-  readonly reading?: {
+  /** A slow read; without a row, the table hasn't served it yet. */
+  readonly slowRead?: {
     readonly row?: TableRow | null;
     readonly askedAtMs: number;
   };
-  /** The write that has not been answered. */
-  readonly waitsFor?: Sent;
+  /** The write whose answer is pending. */
+  readonly pendingSend?: Send;
 }
 
 interface State {
   readonly tick: number;
   readonly table: TableState;
   readonly processes: readonly Process[];
-  readonly network: readonly Sent[];
+  readonly network: readonly Send[];
   readonly answers: readonly Answer[];
   readonly sends: number;
   readonly lateAnswers: number;
   readonly slowReads: number;
   readonly crashes: number;
-  /** Set when a write applied that must not have. */
+  /** Describes a write that applied although its writer was not the holder. */
   readonly badWrite?: string;
 }
 
@@ -105,7 +105,7 @@
   return `${row.version}${holder}${epoch}${successor}${attemptId}`;
 }
 
-function describeSent(sent: Sent): string {
+function describeSent(sent: Send): string {
   const condition = sent.transaction.conditions.at(0);
   const on =
     condition?.kind === 'version'
@@ -115,20 +115,27 @@
         : 0;
   const write = sent.transaction.writes[0];
   const epoch = write.kind === 'put' ? write.value.epoch : '';
-  return `${sent.kind}${sent.name}.${sent.life}@${sent.sentAtMs}/${on}/${epoch}`;
+  return `${sent.kind}${sent.name}.${sent.incarnation}@${sent.sentAtMs}/${on}/${epoch}`;
 }
 
 function describeProcess(process: Process): string {
-  const {life, held, heldUntilMs, observation, row, reading, waitsFor} =
-    process;
+  const {
+    incarnation,
+    held,
+    heldUntilMs,
+    observation,
+    row,
+    slowRead,
+    pendingSend,
+  } = process;
   return [
-    life,
+    incarnation,
     held && `${held.version}${held.record.epoch}${held.record.holder}`,
     held && heldUntilMs,
     observation && `${observation.version}@${observation.firstSeenMs}`,
     describeRow(row),
-    reading && `${describeRow(reading.row)}@${reading.askedAtMs}`,
-    waitsFor?.name,
+    slowRead && `${describeRow(slowRead.row)}@${slowRead.askedAtMs}`,
+    pendingSend?.name,
   ].join();
 }
 
@@ -172,18 +179,18 @@
   function send(
     state: State,
     by: number,
-    kind: Sent['kind'],
+    kind: Send['kind'],
     transaction: TableTransaction,
   ): State {
-    const {life} = state.processes[by];
+    const {incarnation} = state.processes[by];
     const sentAtMs = nowOf(state, by);
     const name = `${HOSTS[by]}${state.sends}`;
-    const sent: Sent = {kind, by, life, sentAtMs, name, transaction};
+    const sent: Send = {kind, by, incarnation, sentAtMs, name, transaction};
     const network = [...state.network, sent];
     const next = {...state, network, sends: state.sends + 1};
     if (kind === 'work') return next;
-    const change: Partial<Process> = {waitsFor: sent};
-    // A release stops the holder first.
+    const change: Partial<Process> = {pendingSend: sent};
+    // The holder gives up the lease before it sends the release.
     if (kind === 'release') Object.assign(change, {held: undefined});
     return withProcess(next, by, change);
   }
@@ -216,13 +223,14 @@
     };
   }
 
-  /** The process learns that its write applied. */
-  function believe(state: State, sent: Sent): State {
+  /** Updates the process after the answer that its write was applied. */
+  function applySuccess(state: State, sent: Send): State {
     const process = state.processes[sent.by];
     const isAnswerToNow =
-      process.life === sent.life && process.waitsFor?.name === sent.name;
+      process.incarnation === sent.incarnation &&
+      process.pendingSend?.name === sent.name;
     if (!isAnswerToNow) return state;
-    const answered = {waitsFor: undefined, row: undefined};
+    const answered = {pendingSend: undefined, row: undefined};
     if (sent.kind === 'release') return withProcess(state, sent.by, answered);
     const write = sent.transaction.writes[0];
     const condition = sent.transaction.conditions.at(0);
@@ -237,16 +245,19 @@
     return withProcess(state, sent.by, {...answered, held, heldUntilMs});
   }
 
-  function refuse(state: State, sent: Sent): State {
+  function applyRejection(state: State, sent: Send): State {
     const process = state.processes[sent.by];
-    if (process.life !== sent.life || process.waitsFor?.name !== sent.name) {
+    if (
+      process.incarnation !== sent.incarnation ||
+      process.pendingSend?.name !== sent.name
+    ) {
       return state;
     }
-    const change = {waitsFor: undefined, row: undefined, held: undefined};
+    const change = {pendingSend: undefined, row: undefined, held: undefined};
     return withProcess(state, sent.by, change);
   }
 
-  function noteWork(state: State, sent: Sent): State {
+  function checkWorkWrite(state: State, sent: Send): State {
     const row = state.table[KEY] as TableRow | undefined;
     const holder = row && parseLeaseRow(row).holder;
     if (holder === HOSTS[sent.by]) return state;
@@ -259,7 +270,7 @@
     const network = state.network.filter((_, i) => i !== index);
     const table = applyTransaction(state.table, sent.transaction);
     let next: State = {...state, network, table: table ?? state.table};
-    if (sent.kind === 'work') return table ? noteWork(next, sent) : next;
+    if (sent.kind === 'work') return table ? checkWorkWrite(next, sent) : next;
     const answer = {to: sent, isApplied: table !== undefined};
     if (isAnswered) return receiveAnswer(next, answer);
     const answers = [...next.answers, answer];
@@ -268,14 +279,14 @@
   }
 
   const receiveAnswer = (state: State, {to, isApplied}: Answer): State =>
-    isApplied ? believe(state, to) : refuse(state, to);
+    isApplied ? applySuccess(state, to) : applyRejection(state, to);
 
-  function giveUpWaiting(state: State, by: number): State {
-    const {waitsFor} = state.processes[by];
-    if (defect === 'unknown-is-applied' && waitsFor) {
-      return believe(state, waitsFor);
+  function stopWaiting(state: State, by: number): State {
+    const {pendingSend} = state.processes[by];
+    if (defect === 'unknown-is-applied' && pendingSend) {
+      return applySuccess(state, pendingSend);
     }
-    return withProcess(state, by, {waitsFor: undefined, row: undefined});
+    return withProcess(state, by, {pendingSend: undefined, row: undefined});
   }
 
   const readTable = (state: State): TableRow | null =>
@@ -291,18 +302,22 @@
     const seenAtMs =
       defect === 'seen-at-request' ? askedAtMs : nowOf(state, by);
     const seen = row ? observe(observation, row.version, seenAtMs) : undefined;
-    return withProcess(state, by, {reading: undefined, row, observation: seen});
+    return withProcess(state, by, {
+      slowRead: undefined,
+      row,
+      observation: seen,
+    });
   }
 
   function readSteps(state: State, by: number): Transition<State>[] {
-    const {reading, held, waitsFor} = state.processes[by];
+    const {slowRead, held, pendingSend} = state.processes[by];
     const host = HOSTS[by];
-    if (reading) {
-      const row = reading.row === undefined ? readTable(state) : reading.row;
-      const next = receiveRead(state, by, row, reading.askedAtMs);
+    if (slowRead) {
+      const row = slowRead.row === undefined ? readTable(state) : slowRead.row;
+      const next = receiveRead(state, by, row, slowRead.askedAtMs);
       return [{label: `${host} receives its read`, next}];
     }
-    if (held || waitsFor) return [];
+    if (held || pendingSend) return [];
     const nowMs = nowOf(state, by);
     const row = readTable(state);
     const steps = [
@@ -313,19 +328,19 @@
     steps.push(
       {
         label: `${host} asks; the table answers late`,
-        next: withProcess(slow, by, {reading: {row, askedAtMs: nowMs}}),
+        next: withProcess(slow, by, {slowRead: {row, askedAtMs: nowMs}}),
       },
       {
         label: `${host} asks; the table serves late`,
-        next: withProcess(slow, by, {reading: {askedAtMs: nowMs}}),
+        next: withProcess(slow, by, {slowRead: {askedAtMs: nowMs}}),
       },
     );
     return steps;
   }
 
   function canTake(state: State, by: number): boolean {
-    const {row, observation, held, waitsFor} = state.processes[by];
-    if (row === undefined || waitsFor) return false;
+    const {row, observation, held, pendingSend} = state.processes[by];
+    if (row === undefined || pendingSend) return false;
     if (held && isHeldNow(state, by)) return false;
     if (row === null) return true;
     const record = parseLeaseRow(row);
@@ -348,7 +363,7 @@
     if (canSend && process.held && isHeldNow(state, by)) {
       const {held} = process;
       add('sends a write', send(state, by, 'work', getWork(held, attemptId)));
-      if (!process.waitsFor) {
+      if (!process.pendingSend) {
         const renewal = buildRenewal([held], attemptId);
         add('sends a renewal', send(state, by, 'renew', renewal));
         const successor = HOSTS[(by + 1) % HOSTS.length];
@@ -356,9 +371,9 @@
         add('sends a release', send(state, by, 'release', release));
       }
     }
-    if (process.waitsFor) add('stops waiting', giveUpWaiting(state, by));
+    if (process.pendingSend) add('stops waiting', stopWaiting(state, by));
     if (state.crashes < bounds.crashes) {
-      const crashed = {life: process.life + 1, heldUntilMs: 0};
+      const crashed = {incarnation: process.incarnation + 1, heldUntilMs: 0};
       const processes = state.processes.map((p, i) => (i === by ? crashed : p));
       add('crashes', {...state, processes, crashes: state.crashes + 1});
     }
@@ -383,11 +398,11 @@
     });
   }
 
-  /** Time passes; who sees the end of its lease lets go of it. */
+  /** Advances time; processes drop leases that expired by their own clock. */
   function tick(state: State): State {
     const next = {...state, tick: state.tick + 1};
     const processes = next.processes.map((process, by) =>
-      process.held && !process.waitsFor && !isHeldNow(next, by)
+      process.held && !process.pendingSend && !isHeldNow(next, by)
         ? {...process, held: undefined}
         : process,
     );
@@ -395,7 +410,7 @@
   }
 
   function getInitial(): State {
-    const idle: Process = {life: 0, heldUntilMs: 0};
+    const idle: Process = {incarnation: 0, heldUntilMs: 0};
     const empty: State = {
       tick: 0,
       table: {},
--- a/bench/check_model_table.ts
+++ b/bench/check_model_table.ts
@@ -1,4 +1,4 @@
-/** The platform's table as a value, for the models. */
+/** The platform's table as an immutable value, for the models. */
 
 import type {
   TableCondition,
@@ -8,7 +8,7 @@
 
 export type TableState = Readonly<Record<string, TableRow>>;
 
-function holds(table: TableState, condition: TableCondition): boolean {
+function isConditionMet(table: TableState, condition: TableCondition): boolean {
   const row = table[condition.key] as TableRow | undefined;
   switch (condition.kind) {
     case 'absent':
@@ -20,12 +20,13 @@
   }
 }
 
-/** The table after the transaction; undefined when it is rejected. */
+/** Returns the table after the transaction, or undefined if it is rejected. */
 export function applyTransaction(
   table: TableState,
   transaction: TableTransaction,
 ): TableState | undefined {
-  if (!transaction.conditions.every(c => holds(table, c))) return undefined;
+  if (!transaction.conditions.every(c => isConditionMet(table, c)))
+    return undefined;
   const next: Record<string, TableRow> = {...table};
   for (const write of transaction.writes) {
     if (write.kind === 'delete') {
--- a/bench/coordination_fleet.ts
+++ b/bench/coordination_fleet.ts
@@ -1,6 +1,7 @@
 /**
- * Many hosts' coordination parts in one process and in virtual time, with the
- * real codec. The transport counts encoded bytes; the table counts calls.
+ * Runs the coordination parts of many hosts in one process and in virtual time,
+ * with the real codec. The transport counts encoded bytes; the table counts
+ * calls.
  */
 
 import {createSeededRandom} from '../src/core/seeded_random.js';
@@ -14,7 +15,7 @@
 import {createFakeTable} from '../tests/coordination/fake_table.js';
 import {createVirtualNetwork} from '../tests/coordination/virtual_network.js';
 
-/** Parts that run on each host beside membership. */
+/** Parts that run on each host in addition to membership. */
 export interface FleetParts {
   readonly hasSummaries: boolean;
   readonly hasConfiguration: boolean;
@@ -29,8 +30,8 @@
   readonly suspicionMs: number;
 }
 
-const DOMAINS = 12;
-const PARTITIONS = 64;
+const DOMAIN_COUNT = 12;
+const PARTITION_COUNT = 64;
 const LEASE_MS = 3_000;
 const STEP_MS = 10;
 const LOAD_BYTES = 6;
@@ -48,7 +49,7 @@
   const table = createFakeTable();
   const listed = Array.from({length: count}, (_, index): ListedHost => ({
     hostId: `entry-${String(index).padStart(4, '0')}`,
-    failureDomain: `zone-${index % DOMAINS}`,
+    failureDomain: `zone-${index % DOMAIN_COUNT}`,
     address: `10.20.${index >> 8}.${index & 255}:${FIRST_PORT + index}`,
     role: 'router',
     state: 'live',
@@ -103,7 +104,7 @@
       {hostId, leaseMs: LEASE_MS, clockRateError: 0.001},
     );
     const getWriteShare = () => {
-      const held = leases.held().length / PARTITIONS;
+      const held = leases.held().length / PARTITION_COUNT;
       return Math.max(held, 1 / membership.members().length);
     };
     if (parts.hasConfiguration) keeper.start();
@@ -112,27 +113,31 @@
 
     function publishSummaries(): void {
       const version = Math.floor(clock.nowMs() / SUMMARY_INTERVAL_MS);
-      const about = {version, ttlMs: SUMMARY_TTL_MS, reach: 'direct'} as const;
+      const metadata = {
+        version,
+        ttlMs: SUMMARY_TTL_MS,
+        reach: 'direct',
+      } as const;
       membership.facts.publish({
-        ...about,
+        ...metadata,
         key: `load/${hostId}`,
         body: new Uint8Array(LOAD_BYTES),
       });
       membership.facts.publish({
-        ...about,
+        ...metadata,
         key: `shard/${index}`,
         body: new Uint8Array(SUMMARY_BYTES),
       });
       clock.setTimer(SUMMARY_INTERVAL_MS, publishSummaries);
     }
 
-    /** Owner and next in line want a partition's lease. */
-    function chooseLeases(): void {
+    /** Requests the leases of partitions that this host owns or is second for. */
+    function requestLeases(): void {
       const ownership = createOwnership({
         clock,
         candidates: () => membership.members(),
       });
-      for (let partition = 0; partition < PARTITIONS; partition++) {
+      for (let partition = 0; partition < PARTITION_COUNT; partition++) {
         const name = `partition/${partition}`;
         if (ownership.ownersOf(name, 2).includes(hostId)) leases.want(name);
       }
@@ -145,7 +150,7 @@
       keeper.stop();
       void leases.stop();
     };
-    return {hostId, membership, keeper, leases, chooseLeases, kill};
+    return {hostId, membership, keeper, leases, requestLeases, kill};
   }
 
   const hosts = listed.map((_, index) => startHost(index));
--- a/bench/decision.ts
+++ b/bench/decision.ts
@@ -1,6 +1,6 @@
 /**
- * `npm run bench -- decision`: what one decision of a shard home costs in
- * real time, with 20 engines and 1,000 waiting, and its slope to ten times.
+ * `npm run bench -- decision`: measures the real time that a shard home
+ * needs for one decision, with up to 200 engines and 10,000 waiting requests.
  */
 
 import {build, type Histogram} from 'hdr-histogram-js';
@@ -32,7 +32,7 @@
   {engines: 200, waiting: 10_000},
 ];
 
-function makeEngines(count: number): EngineDescription[] {
+function createEngines(count: number): EngineDescription[] {
   return Array.from({length: count}, (_, i) => ({
     engineId: `engine-${i}`,
     address: `10.0.0.${i}:80`,
@@ -45,7 +45,7 @@
   }));
 }
 
-function newHistogram(): Histogram {
+function createHistogram(): Histogram {
   return build({
     lowestDiscernibleValue: 1,
     highestTrackableValue: 1_000_000_000,
@@ -56,9 +56,9 @@
 
 interface Costs {
   readonly ask: Histogram;
-  /** Ends of answers that let at least one waiting request in. */
+  /** Ends of answers that led to a grant for a waiting request. */
   readonly end: Histogram;
-  /** Timers that came due between two requests, sweeps among them. */
+  /** Timers that fired between two requests, including periodic sweeps. */
   readonly timers: Histogram;
   readonly grantsAtEnd: number;
 }
@@ -78,7 +78,7 @@
       initialEstimates: {kvBytesPerToken: 160_000},
     },
   );
-  dispatcher.setEngines(makeEngines(size.engines));
+  dispatcher.setEngines(createEngines(size.engines));
   const running: Grant[] = [];
   let count = 0;
 
@@ -108,11 +108,11 @@
     };
   }
 
-  let handled = 0;
-  /** Lets the newly granted ones reach their decode, outside the timing. */
-  function settle(): void {
-    while (handled < running.length) {
-      const {grantId} = running[handled++];
+  let advancedCount = 0;
+  /** Moves new grants to their decode phase; this is not timed. */
+  function advanceNewGrants(): void {
+    while (advancedCount < running.length) {
+      const {grantId} = running[advancedCount++];
       dispatcher.report(grantId, {
         kind: 'prefill-done',
         kvSizeBytes: 300_000_000,
@@ -125,22 +125,22 @@
   const capacity = size.engines * SLOTS;
   for (let i = 0; i < capacity + size.waiting; i++) {
     dispatcher.ask(nextRequest(), onOutcome);
-    settle();
+    advanceNewGrants();
     if (i % 10 === 0) clock.advanceSync(20);
   }
   for (let i = 0; i < 50; i++) {
     clock.advanceSync(50);
-    settle();
+    advanceNewGrants();
   }
 
-  const ask = newHistogram();
-  const end = newHistogram();
-  const timers = newHistogram();
+  const ask = createHistogram();
+  const end = createHistogram();
+  const timers = createHistogram();
   let grantsAtEnd = 0;
   for (let i = 0; i < WARM_UP + ROUNDS; i++) {
-    const index = random.nextInt(handled);
+    const index = random.nextInt(advancedCount);
     const [ended] = running.splice(index, 1);
-    handled--;
+    advancedCount--;
     const endFrom = process.hrtime.bigint();
     dispatcher.report(ended.grantId, {
       kind: 'ended',
@@ -149,23 +149,23 @@
       prefillWasted: false,
     });
     const endNs = Number(process.hrtime.bigint() - endFrom);
-    const hasGranted = running.length > handled;
-    if (hasGranted) grantsAtEnd++;
-    settle();
+    const hasNewGrant = running.length > advancedCount;
+    if (hasNewGrant) grantsAtEnd++;
+    advanceNewGrants();
     const request = nextRequest();
     const askFrom = process.hrtime.bigint();
     dispatcher.ask(request, onOutcome);
     const askNs = Number(process.hrtime.bigint() - askFrom);
-    settle();
+    advanceNewGrants();
     if (i >= WARM_UP) {
       ask.recordValue(askNs);
-      if (hasGranted) end.recordValue(endNs);
+      if (hasNewGrant) end.recordValue(endNs);
     }
     const timersFrom = process.hrtime.bigint();
     clock.advanceSync(STEP_MS);
     const timersNs = Number(process.hrtime.bigint() - timersFrom);
     if (i >= WARM_UP) timers.recordValue(Math.max(1, timersNs));
-    settle();
+    advanceNewGrants();
   }
   dispatcher.stop();
   return {ask, end, timers, grantsAtEnd: grantsAtEnd / (WARM_UP + ROUNDS)};
@@ -179,7 +179,7 @@
     .join('');
 }
 
-/** @param args Sizes to run, as positions in the list; none: all. */
+/** @param args Indices of the sizes to run; all if empty. */
 export async function run(args: readonly string[]): Promise<void> {
   const wanted =
     args.length > 0 ? args.map(each => SIZES[Number(each)]) : SIZES;
--- a/bench/fleet_slopes.ts
+++ b/bench/fleet_slopes.ts
@@ -1,7 +1,7 @@
 /**
- * What hosts with nothing to serve send and hear, by their number:
- * `npm run bench -- fleet_slopes [COUNT...]`. Virtual time, no processes: the
- * datagrams are real, what they say of engines and requests is empty.
+ * `npm run bench -- fleet_slopes [COUNT...]`: measures the traffic of idle hosts
+ * by the number of hosts. It runs in virtual time without processes; the
+ * datagrams are real, but carry no engines or requests.
  */
 
 import {makeFleet, type FleetHost} from '../tests/relay/fleet/fleet_network.js';
@@ -12,7 +12,7 @@
 
 type Fleet = ReturnType<typeof makeFleet>;
 
-/** Datagrams sent and heard, and bytes in both directions, a host and second. */
+/** Datagrams sent and received, and bytes in total, per host and second. */
 function measure(
   {trafficOf}: Fleet,
   hosts: readonly FleetHost[],
--- a/bench/fuzz.ts
+++ b/bench/fuzz.ts
@@ -1,6 +1,6 @@
 /**
- * Seeded random schedules of up to three overlapping faults:
- * `npm run fuzz -- --runs 100000 --seed 1`. One seed gives one schedule.
+ * `npm run fuzz -- --runs 100000 --seed 1`: runs seeded random schedules of up
+ * to three overlapping faults. Each seed determines one schedule.
  */
 
 import {parseArgs} from 'node:util';
@@ -14,10 +14,10 @@
 
 const REPORT_EVERY = 250;
 const PROGRESS_EVERY = 10_000;
-const MAX_SHOWN = 5;
+const MAX_PRINTED_FAILURES = 5;
 
 /** Every `stride`th seed from `firstSeed` on. */
-interface Share {
+interface SeedRange {
   readonly firstSeed: number;
   readonly runs: number;
   readonly stride: number;
@@ -28,35 +28,35 @@
 interface Report {
   readonly runs: number;
   readonly sends: number;
-  /** Traces of the schedules that broke a promise. */
+  /** Traces of the schedules that violated a guarantee. */
   readonly failures: readonly string[];
   readonly traces: readonly string[];
-  /** How often callers were told what. */
-  readonly said: ReadonlyMap<string, number>;
+  /** Number of calls by the outcome that the caller received. */
+  readonly outcomeCounts: ReadonlyMap<string, number>;
 }
 
-async function runShare(
-  share: Share,
+async function runSeedRange(
+  range: SeedRange,
   report: (report: Report) => void,
 ): Promise<void> {
-  const site = {name: 'none', hasRealHome: share.hasRealHome};
+  const site = {name: 'none', hasRealHome: range.hasRealHome};
   let runs = 0;
   let sends = 0;
   let failures: string[] = [];
   let traces: string[] = [];
-  let said = new Map<string, number>();
+  let outcomeCounts = new Map<string, number>();
 
   function flush(): void {
-    report({runs, sends, failures, traces, said});
+    report({runs, sends, failures, traces, outcomeCounts});
     runs = 0;
     sends = 0;
     failures = [];
     traces = [];
-    said = new Map();
+    outcomeCounts = new Map();
   }
 
-  for (let i = 0; i < share.runs; i++) {
-    const schedule = makeSchedule(share.firstSeed + i * share.stride);
+  for (let i = 0; i < range.runs; i++) {
+    const schedule = makeSchedule(range.firstSeed + i * range.stride);
     const result = await runSchedule(schedule, site);
     runs++;
     sends += result.records.length;
@@ -66,11 +66,11 @@
         outcome?.kind === 'failed'
           ? outcome.error.kind
           : (outcome?.kind ?? 'nothing (hung up or entry died)');
-      said.set(name, (said.get(name) ?? 0) + 1);
+      outcomeCounts.set(name, (outcomeCounts.get(name) ?? 0) + 1);
     }
     if (result.violations.length > 0) {
       failures.push(describeRun(schedule, result));
-    } else if (share.hasTraces) traces.push(describeRun(schedule, result));
+    } else if (range.hasTraces) traces.push(describeRun(schedule, result));
     if (runs === REPORT_EVERY) flush();
   }
   flush();
@@ -89,36 +89,37 @@
   const runs = Number(values.runs);
   const firstSeed = Number(values.seed);
   const workers = Math.min(runs, Number(values.workers));
-  const said = new Map<string, number>();
-  let done = 0;
+  const outcomeCounts = new Map<string, number>();
+  let finishedRuns = 0;
   let sends = 0;
   let failed = 0;
 
   function onReport(report: Report): void {
-    const before = Math.floor(done / PROGRESS_EVERY);
-    done += report.runs;
+    const before = Math.floor(finishedRuns / PROGRESS_EVERY);
+    finishedRuns += report.runs;
     sends += report.sends;
-    for (const [name, count] of report.said) {
-      said.set(name, (said.get(name) ?? 0) + count);
+    for (const [name, count] of report.outcomeCounts) {
+      outcomeCounts.set(name, (outcomeCounts.get(name) ?? 0) + count);
     }
     for (const trace of report.failures) {
-      if (++failed <= MAX_SHOWN) console.log(trace);
+      if (++failed <= MAX_PRINTED_FAILURES) console.log(trace);
     }
     report.traces.forEach(trace => console.log(trace));
-    if (Math.floor(done / PROGRESS_EVERY) > before) console.log(`${done} runs`);
+    if (Math.floor(finishedRuns / PROGRESS_EVERY) > before)
+      console.log(`${finishedRuns} runs`);
   }
 
   const startedAtMs = performance.now();
   await Promise.all(
     Array.from({length: workers}, (_, i) => {
-      const share: Share = {
+      const range: SeedRange = {
         firstSeed: firstSeed + i,
         runs: Math.ceil((runs - i) / workers),
         stride: workers,
         hasTraces: values.trace,
         hasRealHome: values.home === 'real',
       };
-      const worker = new Worker(new URL(import.meta.url), {workerData: share});
+      const worker = new Worker(new URL(import.meta.url), {workerData: range});
       worker.on('message', onReport);
       return new Promise((resolve, reject) => {
         worker.on('exit', resolve);
@@ -127,9 +128,9 @@
     }),
   );
   const seconds = ((performance.now() - startedAtMs) / 1_000).toFixed(0);
-  console.log([...said].map(([name, n]) => `${name} ${n}`).join(', '));
+  console.log([...outcomeCounts].map(([name, n]) => `${name} ${n}`).join(', '));
   console.log(
-    `${done} schedules from seed ${firstSeed}, ${sends} sends, ` +
+    `${finishedRuns} schedules from seed ${firstSeed}, ${sends} sends, ` +
       `${failed} with violations, ${seconds} s`,
   );
   process.exit(failed > 0 ? 1 : 0);
@@ -137,7 +138,7 @@
 
 if (isMainThread) await main();
 else {
-  await runShare(workerData as Share, report =>
+  await runSeedRange(workerData as SeedRange, report =>
     parentPort!.postMessage(report),
   );
 }
--- a/bench/fuzz_mutants.ts
+++ b/bench/fuzz_mutants.ts
@@ -1,6 +1,6 @@
 /**
- * Shows that the harness bites: each deliberate defect must be caught.
- * `npm run fuzz:mutants -- --runs 6000 --seed 1`
+ * `npm run fuzz:mutants -- --runs 6000 --seed 1`: checks that the fuzz harness
+ * detects each deliberate defect.
  */
 
 import {parseArgs} from 'node:util';
@@ -17,10 +17,10 @@
 });
 const runs = Number(values.runs);
 const firstSeed = Number(values.seed);
-let missed = 0;
+let missedCount = 0;
 
-/** The defect itself must be to blame: without it, nothing is broken. */
-async function isCleanWithout(
+/** Whether the same schedule has no violation without the defect. */
+async function passesWithoutDefect(
   mutant: Mutant,
   schedule: Schedule,
 ): Promise<boolean> {
@@ -38,12 +38,14 @@
     if (mutant.needsLivingEntries && hasEntryFault(schedule.faults)) continue;
     const {violations} = await runSchedule(schedule, mutant);
     const first = violations[0];
-    if (first && (await isCleanWithout(mutant, schedule)))
+    if (first && (await passesWithoutDefect(mutant, schedule)))
       caught = `seed ${seed}: ${first.promise}: ${first.what}`;
   }
-  if (!caught) missed++;
+  if (!caught) missedCount++;
   console.log(`${caught ? 'caught' : 'MISSED'}  ${mutant.name}`);
   console.log(`        ${caught ?? `not in ${tried} schedules`}`);
 }
-console.log(`${mutants.length - missed} of ${mutants.length} defects caught`);
-process.exit(missed > 0 ? 1 : 0);
+console.log(
+  `${mutants.length - missedCount} of ${mutants.length} defects caught`,
+);
+process.exit(missedCount > 0 ? 1 : 0);
--- a/bench/home_slopes.ts
+++ b/bench/home_slopes.ts
@@ -1,6 +1,6 @@
 /**
- * `npm run bench -- home_slopes`: memory, CPU and messages of one shard home
- * as it grows, for the page on capacity.
+ * `npm run bench -- home_slopes`: measures memory, CPU and messages of one
+ * shard home by its number of engines, for the capacity documentation.
  */
 
 import {createSeededRandom} from '../src/core/seeded_random.js';
@@ -13,9 +13,9 @@
 const SLOTS = 20;
 const STEP_MS = 10;
 const RUN_MS = 20_000;
-const HOLD_MS = 15_000;
-const RENEW_MS = 2_000;
-const BLOCKS = 60;
+const DECODE_MS = 15_000;
+const RENEW_INTERVAL_MS = 2_000;
+const PREFIX_BLOCKS = 60;
 const NS_PER_MS = 1e6;
 
 interface Row {
@@ -23,7 +23,7 @@
   readonly ratePerSecond: number;
 }
 
-/** At 27,000 requests/s over 12,000 engines an engine gets 2.25 a second. */
+/** 27,000 requests/s over 12,000 engines are 2.25 per engine and second. */
 const RATE_PER_ENGINE = 2.25;
 
 const ROWS: readonly Row[] = [5, 10, 20, 40, 80].map(engines => ({
@@ -75,14 +75,17 @@
       requestClass: 'interactive',
       promptTokenCount: 100 + random.nextInt(5_000),
       maxTokens: 512,
-      prefixHashes: Array.from({length: BLOCKS}, (_, i) => `${prefix}-${i}`),
+      prefixHashes: Array.from(
+        {length: PREFIX_BLOCKS},
+        (_, i) => `${prefix}-${i}`,
+      ),
       ttftLeftMs: 2_000,
       waitLeftMs: 60_000,
       resumeOffset: 0,
     };
   }
 
-  function follow(grant: Grant): void {
+  function reportProgress(grant: Grant): void {
     grants++;
     const send = (
       delayMs: number,
@@ -95,13 +98,13 @@
     send(2, {kind: 'prefill-started'});
     send(80, {kind: 'prefill-done', kvSizeBytes: GB / 2, cachedTokens: 0});
     send(140, {kind: 'decode-started'});
-    for (let ms = RENEW_MS; ms < HOLD_MS; ms += RENEW_MS) {
+    for (let ms = RENEW_INTERVAL_MS; ms < DECODE_MS; ms += RENEW_INTERVAL_MS) {
       send(140 + ms, {kind: 'renew', tokensDelivered: ms / 50});
     }
-    send(140 + HOLD_MS, {
+    send(140 + DECODE_MS, {
       kind: 'ended',
       result: 'whole',
-      tokensDelivered: HOLD_MS / 50,
+      tokensDelivered: DECODE_MS / 50,
       prefillWasted: false,
     });
   }
@@ -113,7 +116,7 @@
     for (due += perStep; due >= 1; due--) {
       messages += 2;
       dispatcher.ask(request(), outcome => {
-        if (outcome.kind === 'granted') follow(outcome);
+        if (outcome.kind === 'granted') reportProgress(outcome);
         else refusals++;
       });
     }
--- a/bench/journal.ts
+++ b/bench/journal.ts
@@ -1,7 +1,8 @@
 /**
- * What the journal costs: table writes for each call that may not be repeated,
- * at rising rates, with and without group commit, against a stand-in platform
- * of 300 writes a second. Virtual time: `npm run bench -- journal`.
+ * `npm run bench -- journal`: measures the cost of the journal, in table writes
+ * per call that may not be repeated, at rising rates, with and without group
+ * commit. It runs in virtual time against a stand-in platform that accepts 300
+ * writes per second.
  */
 
 import {build as buildHistogram} from 'hdr-histogram-js';
@@ -18,13 +19,13 @@
 const SECONDS = 10;
 const CALL_MS = 20;
 const PLATFORM_WRITES_PER_SECOND = 300;
-/** Share of the platform's writes that the journal takes. */
+/** The part of the platform's write rate that the journal may use. */
 const JOURNAL_WRITES_PER_SECOND = 96;
 const RATES = [20, 100, 300, 1_000, 2_000, 4_000, 8_000];
 const ONE_WAY_MS = 1.5;
 const WRITE_MS = 5;
 
-interface Outcome {
+interface Result {
   readonly proceeded: number;
   readonly refused: number;
   readonly recorded: number;
@@ -35,7 +36,7 @@
   readonly p95Ms: number;
 }
 
-async function measure(rate: number, isGrouped: boolean): Promise<Outcome> {
+async function measure(rate: number, isGrouped: boolean): Promise<Result> {
   const clock = createVirtualClock();
   const random = createSeededRandom(rate);
   const platform = createPlatformCore(
@@ -46,7 +47,7 @@
       writesPerSecond: PLATFORM_WRITES_PER_SECOND,
     },
   );
-  await lease(platform.table, clock);
+  await writeLease(platform.table, clock);
   const owners = Array.from({length: PARTITIONS}, (_, partition) =>
     createJournalOwner(
       {
@@ -127,7 +128,7 @@
   };
 }
 
-async function lease(
+async function writeLease(
   table: ReturnType<typeof createPlatformCore>['table'],
   clock: ReturnType<typeof createVirtualClock>,
 ): Promise<void> {
--- a/bench/main.ts
+++ b/bench/main.ts
@@ -1,4 +1,4 @@
-/** `npm run bench -- NAME [ARG...]` runs `bench/NAME.ts`. */
+/** Command line of the benches: `npm run bench -- NAME [ARG...]` runs `bench/NAME.ts`. */
 
 const NAME_PATTERN = /^[a-z][a-z_]*$/;
 
--- a/bench/matrix.ts
+++ b/bench/matrix.ts
@@ -1,8 +1,8 @@
 /**
- * The fault matrix: each fault at each step of each request kind, single and
- * in pairs, with the promises checked from the stand-ins' books after each
- * cell. `npm run matrix` prints it and writes docs/FAULT_MATRIX.md;
- * `npm run matrix -- --processes` runs the chosen set with real processes.
+ * The fault matrix: injects each fault at each step of each request kind, alone
+ * and in pairs, and checks the guarantees against the stand-ins' records.
+ * `npm run matrix` prints it and writes docs/FAULT_MATRIX.md;
+ * `npm run matrix -- --processes` runs selected faults with real processes.
  */
 
 import {writeFileSync} from 'node:fs';
@@ -19,12 +19,12 @@
 import type {MachineName} from './support/step_watch.js';
 
 const PAGE = 'docs/FAULT_MATRIX.md';
-const MAX_SHOWN = 5;
-let shown = 0;
+const MAX_PRINTED_FAILURES = 5;
+let printedFailures = 0;
 
-function showRed(name: string, cell: CellResult): void {
-  if (shown >= MAX_SHOWN) return;
-  shown++;
+function printFailedCell(name: string, cell: CellResult): void {
+  if (printedFailures >= MAX_PRINTED_FAILURES) return;
+  printedFailures++;
   const broken = cell.runs.find(run => run.violations.length > 0)!;
   console.log(`RED ${name}`);
   console.log(describeRun({seed: 0, calls: [], faults: []}, broken));
@@ -38,7 +38,10 @@
     count++;
     if (!cell.runs.some(run => run.violations.length > 0)) continue;
     red++;
-    showRed(`${column.machine} ${column.step}: ${fault} + ${second}`, cell);
+    printFailedCell(
+      `${column.machine} ${column.step}: ${fault} + ${second}`,
+      cell,
+    );
   }
   return {count, red};
 }
@@ -53,7 +56,7 @@
     if (column.machine !== machine) continue;
     const cell = await runCell(column, fault);
     const isRed = cell.runs.some(run => run.violations.length > 0);
-    if (isRed) showRed(`${machine} ${column.step}: ${fault}`, cell);
+    if (isRed) printFailedCell(`${machine} ${column.step}: ${fault}`, cell);
     const pairs = withPairs
       ? await runPairs(column, fault)
       : {count: 0, red: 0};
--- a/bench/nine_processes.ts
+++ b/bench/nine_processes.ts
@@ -1,9 +1,10 @@
 /**
  * `npm run bench -- nine_processes [--changes N] [--kills N] [--races N]`:
- * nine real processes on loopback. How soon a change is in force at all of
- * them, also with the platform frozen right after it was accepted; whether a
- * process ever goes back over kills and restarts; whether operators who race
- * are told the truth; how soon a dead or leaving host is out of the answers.
+ * runs nine real processes on loopback. It measures the time until all have
+ * adopted a change, also with the platform frozen right after acceptance, and
+ * until a dead or leaving host is no longer listed. It checks that processes
+ * never return to an older revision across kills and restarts, and that racing
+ * operators get correct outcomes.
  */
 
 import {setTimeout as sleep} from 'node:timers/promises';
@@ -21,19 +22,19 @@
 
 const HOST_COUNT = 9;
 const POLL_MS = 50;
-const LONG_MS = 15_000;
+const TIMEOUT_MS = 15_000;
 const SETTLE_MS = 3000;
 const RACERS = 3;
 const PARTITION_COUNT = 18;
-/** So long without being named, a host is out of the answers. */
-const QUIET_MS = 2000;
+/** A host that no answer lists for this time counts as removed. */
+const UNLISTED_MS = 2000;
 const RATE_PATTERN = /requestsPerSecond: \d+/g;
 
 interface Bench {
   readonly fleet: Fleet;
   readonly seats: readonly OperatorSeat[];
   readonly random: Random;
-  /** Newest revision that an operator was told is accepted. */
+  /** Newest revision whose acceptance was reported to an operator. */
   acceptedRevision: number;
 }
 
@@ -41,22 +42,22 @@
   process.stdout.write(`${line}\n`);
 }
 
-function describe(timesMs: readonly number[]): string {
+function formatTimes(timesMs: readonly number[]): string {
   const sorted = [...timesMs].sort((a, b) => a - b);
   const at = (share: number) =>
     Math.round(sorted[Math.floor((sorted.length - 1) * share)]);
   return `median ${at(0.5)} ms, worst ${at(1)} ms, of ${sorted.length}`;
 }
 
-/** Another body with the same meaning but for one limit. */
+/** Returns the body with another rate limit. */
 function changeBody(body: string, bench: Bench): string {
   const limit = 10_000 + bench.random.nextInt(900_000);
   return body.replace(RATE_PATTERN, `requestsPerSecond: ${limit}`);
 }
 
-async function until(
+async function measureUntil(
   isDone: () => Promise<boolean>,
-  limitMs = LONG_MS,
+  limitMs = TIMEOUT_MS,
 ): Promise<number | undefined> {
   const startMs = performance.now();
   for (;;) {
@@ -95,7 +96,9 @@
     for (let i = 0; i < count; i++) {
       const revision = await applyOne(bench);
       if (isFrozen) bench.fleet.platform.kill('SIGSTOP');
-      const tookMs = await until(() => isInForceAtAll(bench.seats, revision));
+      const tookMs = await measureUntil(() =>
+        isInForceAtAll(bench.seats, revision),
+      );
       if (isFrozen) bench.fleet.platform.kill('SIGCONT');
       if (tookMs === undefined) lateCount++;
       else timesMs.push(tookMs);
@@ -103,21 +106,21 @@
     }
     const how = isFrozen ? 'platform frozen right after' : 'platform up';
     print(
-      `change in force at all 9, ${how}: ${describe(timesMs)}; ` +
-        `not within ${LONG_MS} ms: ${lateCount}`,
+      `change in force at all 9, ${how}: ${formatTimes(timesMs)}; ` +
+        `not within ${TIMEOUT_MS} ms: ${lateCount}`,
     );
   }
 }
 
-/** Notes each time that a process shows an older revision than before. */
+/** Counts how often a process reports an older revision than before. */
 function watchRevisions(bench: Bench) {
   const seen = new Map<string, number>();
   let reverts = 0;
   let isStopped = false;
-  async function look(seat: OperatorSeat): Promise<void> {
+  async function checkRevision(seat: OperatorSeat): Promise<void> {
     const status = await seat.readStatus();
     const now = status?.configuration.inForceRevision ?? 0;
-    // 0: the process has just started and says that it has none yet.
+    // A process that has just started reports 0 until it has a revision.
     if (now === 0) return;
     const before = seen.get(seat.host.hostId) ?? 0;
     if (now < before) {
@@ -128,7 +131,7 @@
   }
   async function run(): Promise<void> {
     while (!isStopped) {
-      await Promise.all(bench.seats.map(look));
+      await Promise.all(bench.seats.map(checkRevision));
       await sleep(POLL_MS);
     }
   }
@@ -161,7 +164,7 @@
   let startFailures = 0;
   for (let i = 0; i < count; i++) {
     await applyOne(bench);
-    // Every third restart finds the platform frozen and must ask its peers.
+    // At every third restart the platform is frozen, so peers must be asked.
     try {
       await killAndRestart(bench, i % 3 === 2);
     } catch (error) {
@@ -169,7 +172,7 @@
       print(`  ${error instanceof Error ? error.message : String(error)}`);
     }
   }
-  const isSettled = await until(() =>
+  const isSettled = await measureUntil(() =>
     isInForceAtAll(bench.seats, bench.acceptedRevision),
   );
   const reverts = await watch.stop();
@@ -206,7 +209,7 @@
   counts.accepted += winners.length;
   counts.lost += replies.filter(reply => reply.kind === 'lost').length;
   const changeId = await racers[0].readChangeId(revision + 1);
-  const isTrue =
+  const isCorrect =
     winners.length === 1 &&
     winners[0].changeId === changeId &&
     winners[0].revision === revision + 1 &&
@@ -215,14 +218,14 @@
         reply.kind === 'accepted' ||
         (reply.kind === 'lost' && reply.changeId !== changeId),
     );
-  if (!isTrue) {
+  if (!isCorrect) {
     counts.wrong++;
     print(
       `  race on ${revision}: ${replies.map(reply => `${reply.kind} ${reply.revision} ${reply.detail}`).join(' | ')}`,
     );
   }
   bench.acceptedRevision = revision + 1;
-  await until(() => isInForceAtAll(bench.seats, revision + 1));
+  await measureUntil(() => isInForceAtAll(bench.seats, revision + 1));
 }
 
 async function measureRaces(bench: Bench, count: number): Promise<void> {
@@ -239,7 +242,7 @@
   );
 }
 
-async function isOutOfAnswers(
+async function isUnlisted(
   others: readonly FleetHost[],
   gone: FleetHost,
 ): Promise<boolean> {
@@ -256,10 +259,10 @@
 }
 
 /**
- * Time after which no answer named the host any more. An answer names a few
- * entries of all, drawn anew each time, so one without the host proves little.
+ * Measures the time until answers stop listing the host. Each answer lists a
+ * random sample of the entries, so a single one without the host is not enough.
  */
-async function untilOutOfAnswers(
+async function measureUntilUnlisted(
   others: readonly FleetHost[],
   gone: FleetHost,
 ): Promise<number | undefined> {
@@ -267,14 +270,14 @@
   let lastNamedMs = 0;
   for (;;) {
     const nowMs = performance.now() - startMs;
-    if (!(await isOutOfAnswers(others, gone))) lastNamedMs = nowMs;
-    if (nowMs - lastNamedMs > QUIET_MS) return lastNamedMs;
-    if (nowMs > LONG_MS) return undefined;
+    if (!(await isUnlisted(others, gone))) lastNamedMs = nowMs;
+    if (nowMs - lastNamedMs > UNLISTED_MS) return lastNamedMs;
+    if (nowMs > TIMEOUT_MS) return undefined;
     await sleep(POLL_MS);
   }
 }
 
-/** Whether the processes hold the leases of all partitions among them. */
+/** Whether the given processes together hold the leases of all partitions. */
 async function isOwnedByOthers(
   seats: readonly OperatorSeat[],
 ): Promise<boolean> {
@@ -295,21 +298,21 @@
     const gone = bench.fleet.hosts[index];
     const seats = bench.seats.filter(seat => seat.host !== gone);
     const others = seats.map(seat => seat.host);
-    await until(() => isOwnedByOthers(bench.seats));
+    await measureUntil(() => isOwnedByOthers(bench.seats));
     gone.child.kill(signal);
     const [outMs, ownedMs] = await Promise.all([
-      untilOutOfAnswers(others, gone),
-      until(() => isOwnedByOthers(seats)),
+      measureUntilUnlisted(others, gone),
+      measureUntil(() => isOwnedByOthers(seats)),
     ]);
-    answersMs.push(outMs ?? LONG_MS);
-    ownersMs.push(ownedMs ?? LONG_MS);
+    answersMs.push(outMs ?? TIMEOUT_MS);
+    ownersMs.push(ownedMs ?? TIMEOUT_MS);
     await gone.child.ended;
     await bench.fleet.restartHost(index);
     await sleep(SETTLE_MS);
   }
   const how = signal === 'SIGKILL' ? 'killed' : 'leaving';
-  print(`${how} host out of all answers: ${describe(answersMs)}`);
-  print(`${how} host's partitions owned by others: ${describe(ownersMs)}`);
+  print(`${how} host out of all answers: ${formatTimes(answersMs)}`);
+  print(`${how} host's partitions owned by others: ${formatTimes(ownersMs)}`);
 }
 
 export async function run(args: readonly string[]): Promise<void> {
--- a/bench/overhead.ts
+++ b/bench/overhead.ts
@@ -1,11 +1,11 @@
 /**
  * `npm run bench -- overhead [--streams N] [--seconds S] [--rounds R]`
  *
- * Two comparisons, each run beside its baseline and in turns:
- * - added latency: first token and whole answer through the router against the
- *   same stand-in called directly, with 100 concurrent streams;
- * - relay: tokens per second of processor time on paced streams against a bare
- *   pipe from `http` to `undici`.
+ * Makes two comparisons, each alternating with its baseline:
+ * - added latency: first token and whole answer through the router, compared
+ *   with direct calls to the same stand-in, with 100 concurrent streams;
+ * - relay: tokens per second of processor time on paced streams, compared with
+ *   a bare pipe from `http` to `undici`.
  */
 
 import {setTimeout as sleep} from 'node:timers/promises';
@@ -27,7 +27,7 @@
 
 const STEP_MS = 50;
 const CONCURRENT = 100;
-/** More than a round of the relay comparison takes. */
+/** More tokens than a stream delivers in a round of the relay comparison. */
 const RELAY_TOKENS = 4_000;
 const LATENCY_STEP_MS = 10;
 const LATENCY_TOKENS = 100;
@@ -60,19 +60,19 @@
   };
 }
 
-/** Keeps `CONCURRENT` answers running for a while; gives those that ended. */
+/** Keeps `CONCURRENT` calls running and returns the timings of successful ones. */
 async function runClosedLoop(
   durationMs: number,
-  one: () => Promise<Timing | undefined>,
+  call: () => Promise<Timing | undefined>,
 ): Promise<readonly Timing[]> {
   const endMs = performance.now() + durationMs;
   const timings: Timing[] = [];
   let failures = 0;
   async function worker(): Promise<void> {
-    // Spread over one answer's time, so that arrivals do not come in herds.
+    // Spreads the starts over the time of one answer to avoid bursts.
     await sleep(Math.random() * ANSWER_MS);
     while (performance.now() < endMs) {
-      const timing = await one();
+      const timing = await call();
       if (timing) timings.push(timing);
       else failures++;
     }
@@ -82,7 +82,7 @@
   return timings;
 }
 
-/** One answer straight from the engines, as the router itself would ask. */
+/** Makes one call directly to the engines, with the router's own adapter. */
 async function callDirectly(
   prefill: EnginePort,
   prefillAddress: string,
@@ -134,7 +134,7 @@
   return {firstTokenMs: answer.firstTokenMs, totalMs: answer.totalMs};
 }
 
-function describe(name: string, timings: readonly Timing[]): string {
+function formatTimings(name: string, timings: readonly Timing[]): string {
   const firsts = timings.map(timing => timing.firstTokenMs);
   const totals = timings.map(timing => timing.totalMs);
   const cells = [
@@ -187,8 +187,8 @@
   for (let round = 0; round < rounds; round++) {
     const before = await runClosedLoop(seconds * MS_PER_SECOND, direct);
     const through = await runClosedLoop(seconds * MS_PER_SECOND, routed);
-    console.log(describe('direct', before));
-    console.log(describe('router', through));
+    console.log(formatTimings('direct', before));
+    console.log(formatTimings('router', through));
     [0.5, 0.99].forEach((share, index) => {
       const firstOf = (timings: readonly Timing[]) =>
         quantile(
@@ -208,8 +208,8 @@
   start(): ReturnType<typeof streamAnswer>;
 }
 
-/** Starts streams one after the other; asks again where one is refused. */
-async function startSpread(
+/** Starts streams one after another and retries refused ones. */
+async function startStreams(
   relay: Relay,
   streams: number,
 ): Promise<readonly ReturnType<typeof streamAnswer>[]> {
@@ -230,13 +230,13 @@
   return calls;
 }
 
-/** Tokens for each second of the relay's processor time. */
+/** Measures tokens per second of the relay's processor time. */
 async function measureRelay(
   relay: Relay,
   streams: number,
   seconds: number,
 ): Promise<{perCoreSecond: number; perSecond: number}> {
-  const calls = await startSpread(relay, streams);
+  const calls = await startStreams(relay, streams);
   const countTokens = () =>
     calls.reduce((sum, call) => sum + call.tokensSoFar(), 0);
   const readyByMs = performance.now() + CALL_TIMEOUT_MS;
@@ -244,8 +244,8 @@
     if (performance.now() > readyByMs) break;
     await sleep(STEP_MS);
   }
-  const quiet = calls.filter(call => call.tokensSoFar() === 0).length;
-  if (quiet > 0) console.log(`  ${quiet} streams brought nothing`);
+  const silentCount = calls.filter(call => call.tokensSoFar() === 0).length;
+  if (silentCount > 0) console.log(`  ${silentCount} streams brought nothing`);
   const startTokens = countTokens();
   const startCpuMs = relay.child.cpuMs();
   const startMs = performance.now();
@@ -316,12 +316,12 @@
   const ratios: number[] = [];
   for (let round = 0; round < rounds; round++) {
     const base = await measureRelay(pipe, streams, seconds);
-    const ours = await measureRelay(router, streams, seconds);
-    ratios.push(ours.perCoreSecond / base.perCoreSecond);
+    const routed = await measureRelay(router, streams, seconds);
+    ratios.push(routed.perCoreSecond / base.perCoreSecond);
     console.log(
       `pipe ${base.perCoreSecond.toFixed(0)}, ` +
-        `router ${ours.perCoreSecond.toFixed(0)} tokens per core-second ` +
-        `(${base.perSecond.toFixed(0)} and ${ours.perSecond.toFixed(0)} ` +
+        `router ${routed.perCoreSecond.toFixed(0)} tokens per core-second ` +
+        `(${base.perSecond.toFixed(0)} and ${routed.perSecond.toFixed(0)} ` +
         `tokens/s), ratio ${ratios.at(-1)!.toFixed(2)}`,
     );
   }
--- a/bench/overhead_pipe.ts
+++ b/bench/overhead_pipe.ts
@@ -1,6 +1,7 @@
 /**
- * The baseline of `bench overhead`: `source` paces server-sent events as an
- * engine does, `pipe` copies each answer from `http` to `undici` and no more.
+ * The baseline processes of the `overhead` bench: `source` sends server-sent
+ * events at an engine's pace, and `pipe` only relays each answer between
+ * `undici` and `http`.
  */
 
 import {createServer, type ServerResponse} from 'node:http';
--- a/bench/placer_slopes.ts
+++ b/bench/placer_slopes.ts
@@ -1,9 +1,10 @@
 /**
- * What placing for others costs one host: `npm run bench -- placer_slopes`.
+ * `npm run bench -- placer_slopes`: measures the cost of a host that places
+ * requests for others.
  *
- * One placer in virtual time serves entries that ask, announce what they
- * booked and end their streams; its share of a core is the time that its own
- * handlers take. Bytes are those of the messages as JSON.
+ * One placer in virtual time serves entries that request placements, announce
+ * their reservations and end their streams. Its CPU share is the real time of
+ * its handlers; bytes are those of the messages as JSON.
  */
 
 import {performance} from 'node:perf_hooks';
@@ -21,13 +22,13 @@
 import {createUpstreamRegistry} from '../src/relay/store/upstream_registry.js';
 
 const HOST_COUNTS: readonly number[] = [20, 79, 128];
-/** Of the grown sites: streams a second and host, engines a host. */
+/** Streams per second and host at a large site. */
 const STREAMS_PER_HOST_S = 0.6;
 const ENGINES_PER_HOST = 0.6;
 const PREFILL_SHARE = 0.23;
 const RUN_MS = 3_600;
 const PREFILL_MS = 100;
-const PLAYED_MS = 60_000;
+const SIMULATED_MS = 60_000;
 const KV_TOKENS = 25_865;
 
 const log = {
@@ -57,7 +58,7 @@
   readonly corePercent: number;
 }
 
-async function play(hostCount: number): Promise<Figures> {
+async function simulate(hostCount: number): Promise<Figures> {
   const clock = createVirtualClock(1_000);
   const random = createSeededRandom(hostCount);
   const registry = createUpstreamRegistry({clock, log});
@@ -110,8 +111,8 @@
   let messages = 0;
   let bytes = 0;
 
-  /** Runs a part of the placer's work and counts its time. */
-  function charge(message: object, work: () => void): void {
+  /** Runs a handler of the placer and adds its time and message size. */
+  function measureHandler(message: object, work: () => void): void {
     const text = JSON.stringify(message);
     messages++;
     bytes += text.length;
@@ -124,7 +125,7 @@
   const entries = Array.from({length: hostCount}, (_, i) => ({
     hostId: `host-${i}`,
     engineLoads: createEngineLoads(),
-    asks: new Map<number, PlacementRequest>(),
+    pendingRequests: new Map<number, PlacementRequest>(),
   }));
   const byId = new Map(entries.map(entry => [entry.hostId, entry]));
   const server = createPlacementServer({
@@ -139,9 +140,9 @@
     },
   });
 
-  function announce(hostId: string, adopted: readonly number[]): void {
+  function announceLoad(hostId: string, adopted: readonly number[]): void {
     const load = byId.get(hostId)!.engineLoads.ownLoad();
-    charge({load, adopted, from: hostId}, () => {
+    measureHandler({load, adopted, from: hostId}, () => {
       engineLoads.setPeerLoad(hostId, load);
       server.releaseAdopted(hostId, adopted);
       scheduler.processQueueSoon();
@@ -150,24 +151,24 @@
 
   function adopt(hostId: string, answer: PlacementAnswer): void {
     const entry = byId.get(hostId)!;
-    const ask = entry.asks.get(answer.askId);
+    const ask = entry.pendingRequests.get(answer.askId);
     if (answer.kind !== 'placed' || !ask) return;
-    entry.asks.delete(answer.askId);
+    entry.pendingRequests.delete(answer.askId);
     const run = entry.engineLoads.startRun({
       engineId: answer.decode,
       promptTokens: ask.promptTokens,
       expectedOutputTokens: ask.expectedOutputTokens,
     });
-    announce(hostId, [answer.askId]);
-    clock.setTimer(PREFILL_MS, () => announce(hostId, []));
+    announceLoad(hostId, [answer.askId]);
+    clock.setTimer(PREFILL_MS, () => announceLoad(hostId, []));
     clock.setTimer(RUN_MS, () => {
       entry.engineLoads.endRun(run);
-      announce(hostId, []);
+      announceLoad(hostId, []);
     });
   }
 
   let askId = 1;
-  function offer(): void {
+  function startRequest(): void {
     const entry = entries[random.nextInt(entries.length)];
     const ask: PlacementRequest = {
       kind: 'ask',
@@ -182,26 +183,26 @@
       startMs: 250,
       callerLeftMs: 14_000,
     };
-    entry.asks.set(ask.askId, ask);
-    charge(ask, () => server.receive(entry.hostId, ask));
+    entry.pendingRequests.set(ask.askId, ask);
+    measureHandler(ask, () => server.receive(entry.hostId, ask));
     const gapMs = 1_000 / (STREAMS_PER_HOST_S * hostCount);
-    clock.setTimer(-Math.log(1 - random.nextFloat()) * gapMs, offer);
+    clock.setTimer(-Math.log(1 - random.nextFloat()) * gapMs, startRequest);
   }
 
-  offer();
-  await clock.advance(PLAYED_MS);
-  const seconds = PLAYED_MS / 1_000;
+  startRequest();
+  await clock.advance(SIMULATED_MS);
+  const seconds = SIMULATED_MS / 1_000;
   return {
     streamsPerS: askId / seconds,
     messagesPerS: messages / seconds,
     kilobytesPerS: bytes / seconds / 1_000,
-    corePercent: (100 * busyMs) / PLAYED_MS,
+    corePercent: (100 * busyMs) / SIMULATED_MS,
   };
 }
 
 export async function run(): Promise<void> {
   for (const hostCount of HOST_COUNTS) {
-    const figures = await play(hostCount);
+    const figures = await simulate(hostCount);
     const columns = [
       `${hostCount} hosts`,
       `${figures.streamsPerS.toFixed(1)} streams/s`,
--- a/bench/process_faults.ts
+++ b/bench/process_faults.ts
@@ -1,6 +1,6 @@
 /**
- * `npm run matrix -- --processes`: the chosen faults with real processes on
- * loopback. What is counted comes from the stand-ins' own books.
+ * `npm run matrix -- --processes`: runs selected faults with real processes on
+ * loopback. All counts come from the stand-ins' own records.
  */
 
 import {setTimeout as sleep} from 'node:timers/promises';
@@ -21,17 +21,17 @@
 
 const HOSTS = 6;
 const POSTS_PER_SECOND = 200;
-const LOST_SHARE = 0.1;
+const LOST_ANSWER_SHARE = 0.1;
 const LEASE_MS = 3_000;
 const PAUSE_MS = 2 * LEASE_MS + 1_000;
-const MEMORY_BOUND_MS = 5_000;
+const MAX_MEMORY_RELEASE_MS = 5_000;
 const DRAIN_STREAMS = 100;
-const STREAMS_OF_THE_DEAD = 60;
+const KILLED_ENTRY_STREAMS = 60;
 const POLL_MS = 100;
 const MS_PER_SECOND = 1_000;
 const DRAIN_TIMEOUT_MS = 60_000;
 
-interface Verdict {
+interface TrialResult {
   readonly name: string;
   readonly isGood: boolean;
   readonly lines: readonly string[];
@@ -50,8 +50,8 @@
   );
 }
 
-/** Posts at a steady rate at all entries; `midway` runs at a third of it. */
-async function postSteadily(
+/** Posts to all entries at a steady rate; `midway` runs after a third. */
+async function postAtSteadyRate(
   fleet: Fleet,
   name: string,
   seconds: number,
@@ -106,9 +106,9 @@
 async function killDuringPosts(
   fleet: Fleet,
   seconds: number,
-): Promise<Verdict> {
+): Promise<TrialResult> {
   const [victim] = fleet.hosts;
-  const results = await postSteadily(fleet, 'kill', seconds, async () => {
+  const results = await postAtSteadyRate(fleet, 'kill', seconds, async () => {
     victim.child.kill('SIGKILL');
     await victim.child.ended;
   });
@@ -120,9 +120,14 @@
   };
 }
 
-/** No process dies; what the lost answers alone do. */
-async function postOnly(fleet: Fleet, seconds: number): Promise<Verdict> {
-  const results = await postSteadily(fleet, 'calm', seconds, async () => {});
+/** Posts without killing a process, to see the effect of lost answers alone. */
+async function postOnly(fleet: Fleet, seconds: number): Promise<TrialResult> {
+  const results = await postAtSteadyRate(
+    fleet,
+    'calm',
+    seconds,
+    async () => {},
+  );
   const audit = await auditPostings(results, fleet.serviceAddresses);
   return {
     name: 'posts with no process dying',
@@ -134,9 +139,9 @@
 async function pauseDuringPosts(
   fleet: Fleet,
   seconds: number,
-): Promise<Verdict> {
+): Promise<TrialResult> {
   const victim = fleet.hosts[1];
-  const results = await postSteadily(fleet, 'pause', seconds, async () => {
+  const results = await postAtSteadyRate(fleet, 'pause', seconds, async () => {
     victim.child.kill('SIGSTOP');
     await sleep(PAUSE_MS);
     victim.child.kill('SIGCONT');
@@ -150,7 +155,7 @@
   };
 }
 
-async function sessionsOf(
+async function countSessions(
   fleet: Fleet,
   isWanted: (session: EngineSession) => boolean,
 ): Promise<number> {
@@ -172,7 +177,7 @@
   return streaming();
 }
 
-/** Starts streams a little apart, so that none is refused as a burst. */
+/** Starts streams at short intervals, so that no burst limit refuses them. */
 async function startStreams(
   entry: string,
   count: number,
@@ -186,38 +191,41 @@
   return calls;
 }
 
-async function killUnderStreams(fleet: Fleet): Promise<Verdict> {
+async function killUnderStreams(fleet: Fleet): Promise<TrialResult> {
   const victim = fleet.hosts[2];
   const calls = await startStreams(
     victim.callerAddress,
-    STREAMS_OF_THE_DEAD,
+    KILLED_ENTRY_STREAMS,
     4_000,
   );
   const streaming = await waitForTokens(calls);
   const isOfVictim = (session: EngineSession) =>
     session.owner.entry.startsWith(`${victim.hostId}#`);
-  const held = await sessionsOf(fleet, isOfVictim);
+  const held = await countSessions(fleet, isOfVictim);
   victim.child.kill('SIGKILL');
   const killedAtMs = performance.now();
   await victim.child.ended;
-  let left = held;
-  while (left > 0 && performance.now() - killedAtMs < 6 * MEMORY_BOUND_MS) {
+  let remaining = held;
+  while (
+    remaining > 0 &&
+    performance.now() - killedAtMs < 6 * MAX_MEMORY_RELEASE_MS
+  ) {
     await sleep(POLL_MS);
-    left = await sessionsOf(fleet, isOfVictim);
+    remaining = await countSessions(fleet, isOfVictim);
   }
   const freedMs = performance.now() - killedAtMs;
   return {
     name: 'engine memory of a dead entry',
-    isGood: held > 0 && left === 0 && freedMs <= MEMORY_BOUND_MS,
+    isGood: held > 0 && remaining === 0 && freedMs <= MAX_MEMORY_RELEASE_MS,
     lines: [
       `${streaming} streams ran, ${held} sessions held at its death, ` +
-        `${left} left after ${freedMs.toFixed(0)} ms ` +
-        `(bound ${MEMORY_BOUND_MS} ms)`,
+        `${remaining} left after ${freedMs.toFixed(0)} ms ` +
+        `(bound ${MAX_MEMORY_RELEASE_MS} ms)`,
     ],
   };
 }
 
-async function terminateUnderStreams(fleet: Fleet): Promise<Verdict> {
+async function terminateUnderStreams(fleet: Fleet): Promise<TrialResult> {
   const victim = fleet.hosts[3];
   const calls = await startStreams(victim.callerAddress, DRAIN_STREAMS, 300);
   const streaming = await waitForTokens(calls);
@@ -259,7 +267,7 @@
   });
 }
 
-type Trial = (fleet: Fleet, seconds: number) => Promise<Verdict>;
+type Trial = (fleet: Fleet, seconds: number) => Promise<TrialResult>;
 
 const trials: Readonly<Record<string, Trial>> = {
   calm: postOnly,
@@ -269,7 +277,7 @@
   drain: terminateUnderStreams,
 };
 
-/** Runs the trials named by `--only`, or all; exits 1 if one is not good. */
+/** Runs the trials named by `--only`, or all; exits with 1 if one fails. */
 export async function runProcessFaults(args: readonly string[]): Promise<void> {
   const {values} = parseArgs({
     args: [...args],
@@ -277,7 +285,7 @@
       processes: {type: 'boolean'},
       only: {type: 'string'},
       seconds: {type: 'string', default: '15'},
-      lost: {type: 'string', default: String(LOST_SHARE)},
+      lost: {type: 'string', default: String(LOST_ANSWER_SHARE)},
       log: {type: 'string'},
     },
   });
--- a/bench/relay_slopes.ts
+++ b/bench/relay_slopes.ts
@@ -1,11 +1,11 @@
 /**
- * What a relay process costs that has nothing to serve, by the number of
- * hosts: `npm run bench -- relay_slopes [COUNT...]`. Real processes on this
- * machine, a stand-in for the store, nine upstreams.
+ * `npm run bench -- relay_slopes [COUNT...]`: measures the cost of an idle relay
+ * process by the number of hosts, with real processes on this machine, a
+ * stand-in for the store and nine upstreams.
  *
- * Processor time is that of the processes, by the kernel. Datagrams are those
- * of the whole machine, bytes all that goes over its loopback, TCP included:
- * nothing else should run beside it.
+ * The kernel reports processor time per process. Datagrams and bytes are those
+ * of the whole machine, including TCP on loopback, so nothing else should run
+ * at the same time.
  */
 
 import {mkdtempSync, readFileSync, rmSync} from 'node:fs';
@@ -15,12 +15,12 @@
 import {createSoakSite} from '../tests/soak/soak_site.js';
 
 const DEFAULT_COUNTS: readonly number[] = [9, 30, 68];
-/** All have started and know each other. */
+/** Time for all hosts to start and discover each other. */
 const WARM_UP_MS = 12_000;
 const MEASURED_MS = 15_000;
-/** Kernel ticks of processor time are this long. */
+/** Length of a kernel tick of processor time. */
 const TICK_MS = 10;
-/** Fields of `/proc/PID/stat` behind the name: time in user and system mode. */
+/** Fields of `/proc/PID/stat` after the name: time in user and system mode. */
 const USER_FIELD = 11;
 const SYSTEM_FIELD = 12;
 
@@ -36,7 +36,7 @@
   return (Number(fields[USER_FIELD]) + Number(fields[SYSTEM_FIELD])) * TICK_MS;
 }
 
-/** One counter of a file that has lines of names and of values in turn. */
+/** Reads a counter of a file with alternating lines of names and values. */
 function readNetCounter(file: string, part: string, name: string): number {
   const lines = readFileSync(file, 'utf8').split('\n');
   const [names, values] = lines
--- a/bench/slopes.ts
+++ b/bench/slopes.ts
@@ -1,11 +1,11 @@
 /**
- * What coordination costs each host, by the number of hosts:
- * `npm run bench -- slopes [COUNT...]`. `--together` leaves out the steps part
- * by part, `--deaths` measures deaths of hosts and of a domain instead, and
- * `--loss` counts false deaths at 5% loss.
+ * `npm run bench -- slopes [COUNT...]`: measures the cost of coordination per
+ * host by the number of hosts. `--together` measures only all parts together,
+ * `--deaths` measures deaths of hosts and of a domain instead, and `--loss`
+ * counts false deaths at 5% loss.
  *
  * Bytes are those of datagrams sent and received, with UDP and IP headers.
- * CPU is this process's, transport and table included, for each host and
+ * CPU is the time of this process, including transport and table, per host and
  * second of virtual time, so it is an upper bound.
  */
 
@@ -19,7 +19,7 @@
 } from './coordination_fleet.js';
 
 const DEFAULT_COUNTS = [9, 36, 100, 300];
-/** All hosts start at once and read each other's records first. */
+/** All hosts start at once and first read each other's records. */
 const getWarmUpMs = (count: number) => 40_000 + 100 * count;
 const MEASURED_MS = 60_000;
 /** 41,000 changes a day. */
@@ -32,7 +32,7 @@
   readonly parts: FleetParts;
 }
 
-/** Each step adds one part. */
+/** Each step adds one part to the previous step. */
 const allSteps: readonly Step[] = [
   {
     name: 'membership',
@@ -58,7 +58,7 @@
   readonly memoryBytes: number;
   readonly tableWritesPerSecond: number;
   readonly tableReadsPerSecond: number;
-  /** From acceptance to the last host in force; 0 without configuration. */
+  /** Time from acceptance until the last host adopts; 0 without configuration. */
   readonly slowestChangeMs: number;
 }
 
@@ -76,7 +76,7 @@
     return sum + sentBytes + receivedBytes;
   }, 0);
 
-/** Applies changes at their pace, each by another host. */
+/** Applies changes at regular intervals, each from a different host. */
 function startChanges(fleet: Fleet) {
   const {clock, hosts} = fleet;
   const lines = Array.from({length: BODY_LINES}, (_, i) => `line ${i}: value`);
@@ -111,7 +111,7 @@
   const heapBefore = getHeapBytes();
   const fleet = createFleet({...FLEET, count, parts});
   await fleet.advance(getWarmUpMs(count) / 2);
-  if (parts.hasLeases) fleet.hosts.forEach(host => host.chooseLeases());
+  if (parts.hasLeases) fleet.hosts.forEach(host => host.requestLeases());
   const changes = parts.hasConfiguration ? startChanges(fleet) : undefined;
   await fleet.advance(getWarmUpMs(count) / 2);
   const bytesBefore = countBytes(fleet);
@@ -168,36 +168,39 @@
 const ALL_PARTS = allSteps[allSteps.length - 1].parts;
 const MAX_DEATH_WAIT_MS = 120_000;
 
-/** One domain of twelve dies at once: how long, and how many bytes. */
+/** Kills one of twelve domains; prints the detection time and peak traffic. */
 async function measureDeaths(count: number): Promise<void> {
   const fleet = createFleet({...FLEET, count, parts: ALL_PARTS});
   await fleet.advance(getWarmUpMs(count));
-  const isDoomed = (index: number) =>
+  const isInDeadDomain = (index: number) =>
     fleet.listed[index].failureDomain === 'zone-3';
   fleet.hosts.forEach((host, index) => {
-    if (isDoomed(index)) host.kill();
+    if (isInDeadDomain(index)) host.kill();
   });
-  const rest = fleet.hosts.filter((_, index) => !isDoomed(index));
-  const domain = (view: (typeof rest)[number]) =>
+  const survivors = fleet.hosts.filter((_, index) => !isInDeadDomain(index));
+  const domain = (view: (typeof survivors)[number]) =>
     view.membership.members().filter(m => m.failureDomain === 'zone-3').length;
   let lastBytes = countBytes(fleet);
   let peak = 0;
   let passedMs = 0;
-  while (passedMs < MAX_DEATH_WAIT_MS && rest.some(host => domain(host) > 0)) {
+  while (
+    passedMs < MAX_DEATH_WAIT_MS &&
+    survivors.some(host => domain(host) > 0)
+  ) {
     await fleet.advance(1_000);
     passedMs += 1_000;
     const bytes = countBytes(fleet);
-    peak = Math.max(peak, (bytes - lastBytes) / rest.length);
+    peak = Math.max(peak, (bytes - lastBytes) / survivors.length);
     lastBytes = bytes;
   }
-  const dead = fleet.hosts.length - rest.length;
+  const dead = fleet.hosts.length - survivors.length;
   print(
     `domain death, ${count} hosts: ${dead} dead, out of all views in ` +
       `${passedMs / 1_000} s, busiest second ${peak.toFixed(0)} B/s a host`,
   );
 }
 
-/** Single deaths one after another: time until out of every view. */
+/** Kills hosts one by one; prints the time until every view has removed each. */
 async function measureSingleDeaths(count: number): Promise<void> {
   const options: FleetOptions = {...FLEET, count, parts: allSteps[0].parts};
   const fleet = createFleet(options);
@@ -206,10 +209,10 @@
   for (let victim = 0; victim < Math.min(20, count / 3); victim++) {
     const {hostId, kill} = fleet.hosts[victim];
     kill();
-    const rest = fleet.hosts.slice(victim + 1);
+    const survivors = fleet.hosts.slice(victim + 1);
     let passedMs = 0;
     const isSeen = () =>
-      rest.some(host => host.membership.get(hostId)?.state !== 'dead');
+      survivors.some(host => host.membership.get(hostId)?.state !== 'dead');
     while (isSeen() && passedMs < MAX_DEATH_WAIT_MS) {
       await fleet.advance(100);
       passedMs += 100;
@@ -247,9 +250,10 @@
 export async function run(args: readonly string[]): Promise<void> {
   const given = args.filter(arg => /^\d+$/.test(arg)).map(Number);
   const counts = given.length > 0 ? given : DEFAULT_COUNTS;
-  const isOther = args.includes('--deaths') || args.includes('--loss');
+  const isOtherMeasurement =
+    args.includes('--deaths') || args.includes('--loss');
   const steps = args.includes('--together') ? allSteps.slice(-1) : allSteps;
-  if (!isOther) await measureSlopes(counts, steps);
+  if (!isOtherMeasurement) await measureSlopes(counts, steps);
   for (const count of counts) {
     if (args.includes('--deaths')) {
       await measureSingleDeaths(count);
--- a/bench/stream_cost.ts
+++ b/bench/stream_cost.ts
@@ -1,7 +1,7 @@
 /**
- * `npm run bench -- stream_cost`: what a `most` stream costs for each token
- * against a direct call, for as many streams as a process relays. Says why the
- * token path calls sinks directly.
+ * `npm run bench -- stream_cost`: compares the cost per token of a `most` stream
+ * with that of a direct call, for as many streams as a process relays. Its
+ * result is the reason why the token path calls sinks directly.
  */
 
 import {createAdapter} from '@most/adapter';
@@ -26,7 +26,7 @@
   return push;
 }
 
-/** Microseconds a token. */
+/** Returns microseconds per token. */
 function measure(create: (sink: Push) => Push): number {
   let sizeBytes = 0;
   const sinks = Array.from({length: STREAMS}, () =>
