--- a/bench/decision.ts
+++ b/bench/decision.ts
@@ -1,6 +1,7 @@
 /**
  * `npm run bench -- decision`: measures the real time that a shard home
- * needs for one decision, with up to 200 engines and 10,000 waiting requests.
+ * needs for one decision, with 20 engines and 1,000 waiting requests, and with
+ * up to ten times as many.
  */
 
 import {build, type Histogram} from 'hdr-histogram-js';
--- a/bench/home_slopes.ts
+++ b/bench/home_slopes.ts
@@ -110,10 +110,10 @@
   }
 
   const perStep = (row.ratePerSecond * STEP_MS) / 1_000;
-  let due = 0;
+  let dueRequests = 0;
   const from = process.hrtime.bigint();
   for (let ms = 0; ms < RUN_MS; ms += STEP_MS) {
-    for (due += perStep; due >= 1; due--) {
+    for (dueRequests += perStep; dueRequests >= 1; dueRequests--) {
       messages += 2;
       dispatcher.ask(request(), outcome => {
         if (outcome.kind === 'granted') reportProgress(outcome);
--- a/bench/nine_processes.ts
+++ b/bench/nine_processes.ts
@@ -104,9 +104,9 @@
       else timesMs.push(tookMs);
       if (isFrozen) await sleep(SETTLE_MS);
     }
-    const how = isFrozen ? 'platform frozen right after' : 'platform up';
+    const condition = isFrozen ? 'platform frozen right after' : 'platform up';
     print(
-      `change in force at all 9, ${how}: ${formatTimes(timesMs)}; ` +
+      `change in force at all 9, ${condition}: ${formatTimes(timesMs)}; ` +
         `not within ${TIMEOUT_MS} ms: ${lateCount}`,
     );
   }
@@ -295,24 +295,26 @@
   const ownersMs: number[] = [];
   for (let i = 0; i < count; i++) {
     const index = bench.random.nextInt(HOST_COUNT);
-    const gone = bench.fleet.hosts[index];
-    const seats = bench.seats.filter(seat => seat.host !== gone);
+    const departing = bench.fleet.hosts[index];
+    const seats = bench.seats.filter(seat => seat.host !== departing);
     const others = seats.map(seat => seat.host);
     await measureUntil(() => isOwnedByOthers(bench.seats));
-    gone.child.kill(signal);
+    departing.child.kill(signal);
     const [outMs, ownedMs] = await Promise.all([
-      measureUntilUnlisted(others, gone),
+      measureUntilUnlisted(others, departing),
       measureUntil(() => isOwnedByOthers(seats)),
     ]);
     answersMs.push(outMs ?? TIMEOUT_MS);
     ownersMs.push(ownedMs ?? TIMEOUT_MS);
-    await gone.child.ended;
+    await departing.child.ended;
     await bench.fleet.restartHost(index);
     await sleep(SETTLE_MS);
   }
-  const how = signal === 'SIGKILL' ? 'killed' : 'leaving';
-  print(`${how} host out of all answers: ${formatTimes(answersMs)}`);
-  print(`${how} host's partitions owned by others: ${formatTimes(ownersMs)}`);
+  const departure = signal === 'SIGKILL' ? 'killed' : 'leaving';
+  print(`${departure} host out of all answers: ${formatTimes(answersMs)}`);
+  print(
+    `${departure} host's partitions owned by others: ${formatTimes(ownersMs)}`,
+  );
 }
 
 export async function run(args: readonly string[]): Promise<void> {
--- a/bench/placer_slopes.ts
+++ b/bench/placer_slopes.ts
@@ -22,7 +22,7 @@
 import {createUpstreamRegistry} from '../src/relay/store/upstream_registry.js';
 
 const HOST_COUNTS: readonly number[] = [20, 79, 128];
-/** Streams per second and host at a large site. */
+/** Streams per second and engines, both per host, at a large site. */
 const STREAMS_PER_HOST_S = 0.6;
 const ENGINES_PER_HOST = 0.6;
 const PREFILL_SHARE = 0.23;
@@ -151,13 +151,13 @@
 
   function adopt(hostId: string, answer: PlacementAnswer): void {
     const entry = byId.get(hostId)!;
-    const ask = entry.pendingRequests.get(answer.askId);
-    if (answer.kind !== 'placed' || !ask) return;
+    const pendingRequest = entry.pendingRequests.get(answer.askId);
+    if (answer.kind !== 'placed' || !pendingRequest) return;
     entry.pendingRequests.delete(answer.askId);
     const run = entry.engineLoads.startRun({
       engineId: answer.decode,
-      promptTokens: ask.promptTokens,
-      expectedOutputTokens: ask.expectedOutputTokens,
+      promptTokens: pendingRequest.promptTokens,
+      expectedOutputTokens: pendingRequest.expectedOutputTokens,
     });
     announceLoad(hostId, [answer.askId]);
     clock.setTimer(PREFILL_MS, () => announceLoad(hostId, []));
--- a/bench/policy.ts
+++ b/bench/policy.ts
@@ -1,6 +1,6 @@
 /**
  * `npm run bench -- policy [PART...] [--seeds N]`: measures scheduling in
- * virtual time against small engine fakes. Parts: splits, bars, ideas, faults,
+ * virtual time with fake engines. Parts: splits, bars, ideas, faults,
  * weights, returns, takeover, shards, plots (writes docs/operators/plots); all if none.
  */
 
@@ -37,7 +37,6 @@
   }
 }
 
-/** Parts of the bench by name. */
 const parts: Readonly<Record<string, (seeds: number) => void | Promise<void>>> =
   {
     splits: printSplits,
@@ -58,6 +57,7 @@
     options: {seeds: {type: 'string'}},
   });
   const seeds = Number(values.seeds ?? DEFAULT_SEEDS);
-  const wanted = positionals.length > 0 ? positionals : Object.keys(parts);
-  for (const name of wanted) await parts[name](seeds);
+  const selectedParts =
+    positionals.length > 0 ? positionals : Object.keys(parts);
+  for (const name of selectedParts) await parts[name](seeds);
 }
--- a/bench/policy/takeover.ts
+++ b/bench/policy/takeover.ts
@@ -128,7 +128,7 @@
       report(grantId: string, progress: GrantProgress): void {
         const tracked = trackedGrants.get(grantId);
         if (!tracked) return;
-        // The old home may have stopped; a new one knows the announced grants.
+        // The old home may have stopped; a new one has the announced grants.
         tracked.home.report(grantId, progress);
         for (const home of homes) {
           if (home !== tracked.home) home.report(grantId, progress);
--- a/bench/process_faults.ts
+++ b/bench/process_faults.ts
@@ -299,11 +299,13 @@
     if (!verdict.isGood) badCount++;
     console.log(`${verdict.isGood ? 'good' : 'BAD '} ${verdict.name}`);
     for (const line of verdict.lines) console.log(`     ${line}`);
-    const books = await getJson<PlatformBooks>(`${fleet.platformUrl}/books`);
+    const platformCounts = await getJson<PlatformBooks>(
+      `${fleet.platformUrl}/books`,
+    );
     console.log(
-      `     platform: ${books.writes} writes (${books.writesRefused} refused, ` +
-        `${books.answersLost} answers lost), ${books.reads} reads ` +
-        `(${books.readsRefused} refused)`,
+      `     platform: ${platformCounts.writes} writes (${platformCounts.writesRefused} refused, ` +
+        `${platformCounts.answersLost} answers lost), ${platformCounts.reads} reads ` +
+        `(${platformCounts.readsRefused} refused)`,
     );
     if (values.log) {
       for (const host of fleet.hosts) console.log(host.child.output());
--- a/bench/slopes.ts
+++ b/bench/slopes.ts
@@ -95,9 +95,9 @@
     const author = hosts[(revision * 7) % hosts.length].keeper;
     const at = revision % BODY_LINES;
     lines[at] = `line ${at}: changed in ${revision + 1}`;
-    const about = {author: 'bench', comment: '', changeId: `c${revision}`};
+    const metadata = {author: 'bench', comment: '', changeId: `c${revision}`};
     const body = lines.join('\n');
-    void author.apply({...about, basedOn: revision, body}).then(outcome => {
+    void author.apply({...metadata, basedOn: revision, body}).then(outcome => {
       if (outcome.kind !== 'accepted') return;
       revision = outcome.accepted.revision;
       acceptedAtMs.set(revision, clock.nowMs());
