--- a/bench/policy.ts
+++ b/bench/policy.ts
@@ -1,14 +1,14 @@
 /**
  * `npm run bench -- policy [PART...] [--seeds N]`: measures scheduling in
- * virtual time against small engine fakes. Parts: splits, bars, ideas, faults,
+ * virtual time with fake engines. Parts: splits, bars, ideas, faults,
  * weights, returns, takeover, shards, plots (writes docs/operators/plots); all if none.
  */
 
 import {parseArgs} from 'node:util';
-import {bestSplit, splits} from './policy/capacity_bound.js';
+import {bestSplit, listSplits} from './policy/capacity_bound.js';
 import {runBars, runFaultBars} from './policy/bars.js';
 import {runIdeas} from './policy/ideas.js';
-import {runReturns, runWeights} from './policy/knobs.js';
+import {runReturns, runWeights} from './policy/weights_and_returns.js';
 import {runPlots} from './policy/plots.js';
 import {runShards} from './policy/shards.js';
 import {runTakeovers} from './policy/takeover.js';
@@ -23,7 +23,7 @@
       `\n${shape.name}: requests/s that ${shape.engines} engines carry`,
     );
     console.log('prefill+decode  by prefill  by slots  by memory  by links');
-    for (const split of splits(shape)) {
+    for (const split of listSplits(shape)) {
       if (Math.abs(split.prefillEngines - best.prefillEngines) > 2) continue;
       const mark = split.prefillEngines === best.prefillEngines ? ' <' : '';
       console.log(
@@ -37,7 +37,6 @@
   }
 }
 
-/** Parts of the bench by name. */
 const parts: Readonly<Record<string, (seeds: number) => void | Promise<void>>> =
   {
     splits: printSplits,
@@ -58,6 +57,7 @@
     options: {seeds: {type: 'string'}},
   });
   const seeds = Number(values.seeds ?? DEFAULT_SEEDS);
-  const wanted = positionals.length > 0 ? positionals : Object.keys(parts);
-  for (const name of wanted) await parts[name](seeds);
+  const selectedParts =
+    positionals.length > 0 ? positionals : Object.keys(parts);
+  for (const name of selectedParts) await parts[name](seeds);
 }
