--- a/bench/support/child.ts
+++ b/bench/support/child.ts
@@ -1,4 +1,4 @@
-/** Child processes of the benches; the product itself never starts one. */
+/** Starts child processes for the benches. Production code starts none. */
 
 import {spawn, type ChildProcess} from 'node:child_process';
 import {readFileSync} from 'node:fs';
@@ -7,7 +7,7 @@
 const PROGRAM = fileURLToPath(
   new URL('../../src/cli/main.js', import.meta.url),
 );
-/** `sysconf(_SC_CLK_TCK)` of Linux. */
+/** Length of a clock tick on Linux, from `sysconf(_SC_CLK_TCK)`. */
 const TICK_MS = 10;
 const USER_TICKS_FIELD = 11;
 const SYSTEM_TICKS_FIELD = 12;
@@ -16,12 +16,12 @@
 export interface Child {
   readonly name: string;
   readonly pid: number;
-  /** Exit code, or 128 and more for a signal. */
+  /** Exit code, or 128 if a signal ended the process. */
   readonly ended: Promise<number>;
   hasEnded(): boolean;
   output(): string;
   kill(signal: NodeJS.Signals): void;
-  /** Processor time used so far, user and system. */
+  /** CPU time used so far, in user and system mode. */
   cpuMs(): number;
 }
 
@@ -41,12 +41,12 @@
   });
   let output = '';
   let isEnded = false;
-  const note = (chunk: Buffer) => {
+  const appendOutput = (chunk: Buffer) => {
     output = (output + chunk.toString()).slice(-MAX_OUTPUT_CHARS);
   };
   running.add(child);
-  child.stdout.on('data', note);
-  child.stderr.on('data', note);
+  child.stdout.on('data', appendOutput);
+  child.stderr.on('data', appendOutput);
   const pid = child.pid!;
   return {
     name,
@@ -71,7 +71,7 @@
   };
 }
 
-/** Starts the program with `args`. */
+/** Starts the command line program with `args`. */
 export function startProgram(
   name: string,
   args: readonly string[],
@@ -80,7 +80,7 @@
   return startNode(name, [PROGRAM, ...args], env);
 }
 
-/** Starts a compiled module of the bench. */
+/** Starts a compiled module of a bench. */
 export function startModule(
   name: string,
   file: URL,
--- a/bench/support/dispatcher_home.ts
+++ b/bench/support/dispatcher_home.ts
@@ -1,4 +1,7 @@
-/** The real shard home, for the fault harness: `npm run fuzz -- --home real`. */
+/**
+ * Runs the production shard home in the fault harness, for
+ * `npm run fuzz -- --home real`.
+ */
 
 import {createSeededRandom} from '../../src/core/seeded_random.js';
 import type {Clock} from '../../src/ports/clock.js';
@@ -16,20 +19,20 @@
   readonly engines: ReadonlyMap<string, EngineCore>;
 }
 
-const POLL_MS = 250;
+const POLL_INTERVAL_MS = 250;
 const POLL_TIMEOUT_MS = 150;
-const FAILURES_UNTIL_GONE = 2;
+const FAILURES_UNTIL_REMOVED = 2;
 const REBUILD_MS = 300;
 
 export function createDispatcherHome(host: DispatcherHomeHost): SmallHome {
   const {clock} = host;
-  const gone = new Set<string>();
+  const unreachable = new Set<string>();
   const leaving = new Set<string>();
   const failures = new Map<string, number>();
   let homeEpoch = 0;
-  let home = start();
+  let home = startHome();
 
-  function start(): ShardHome {
+  function startHome(): ShardHome {
     homeEpoch++;
     const log = {error() {}, warn() {}, info() {}, debug() {}};
     return createShardHome(
@@ -55,7 +58,7 @@
   function setEngines(): void {
     home.setEngines(
       [...host.engines]
-        .filter(([address]) => !gone.has(address))
+        .filter(([address]) => !unreachable.has(address))
         .map(([address, {options}]) => ({
           engineId: options.engineId,
           address,
@@ -73,17 +76,17 @@
     const report = await engine.load(POLL_TIMEOUT_MS);
     if (!('kind' in report)) {
       failures.delete(address);
-      if (gone.delete(address)) setEngines();
+      if (unreachable.delete(address)) setEngines();
       home.applyLoadReport(report);
     } else {
       const count = (failures.get(address) ?? 0) + 1;
       failures.set(address, count);
-      if (count === FAILURES_UNTIL_GONE) {
-        gone.add(address);
+      if (count === FAILURES_UNTIL_REMOVED) {
+        unreachable.add(address);
         home.removeEngine(engine.options.engineId);
       }
     }
-    clock.setTimer(POLL_MS, () => void poll(address, engine));
+    clock.setTimer(POLL_INTERVAL_MS, () => void poll(address, engine));
   }
 
   setEngines();
@@ -97,15 +100,15 @@
       leaving.add(engineId);
       home.markLeaving(engineId);
     },
-    entryGone: entry => home.releaseEntry(entry),
-    moveHome() {
+    releaseEntry: entry => home.releaseEntry(entry),
+    restartHome() {
       home.stop();
-      home = start();
+      home = startHome();
       setEngines();
       leaving.forEach(engineId => home.markLeaving(engineId));
     },
-    openGrants: () =>
-      home.engineUsage().reduce((sum, book) => sum + book.usedSlots, 0),
-    lapsedGrants: () => 0,
+    openGrantCount: () =>
+      home.engineUsage().reduce((sum, usage) => sum + usage.usedSlots, 0),
+    expiredGrantCount: () => 0,
   };
 }
--- a/bench/support/fault_run.ts
+++ b/bench/support/fault_run.ts
@@ -1,4 +1,7 @@
-/** Runs one schedule of calls and faults and says what was broken by it. */
+/**
+ * Creates schedules of calls and faults, runs them on a simulated site and
+ * reports the violated guarantees.
+ */
 
 import {createSeededRandom} from '../../src/core/seeded_random.js';
 import {createRequestSite, type RequestSite} from './request_site.js';
@@ -35,37 +38,37 @@
 export const noMutant: Mutant = {name: 'none'};
 
 const WARM_UP_MS = 500;
-const CALLS_WITHIN_MS = 250;
-const FAULTS_WITHIN_MS = 700;
+const CALL_WINDOW_MS = 250;
+const FAULT_WINDOW_MS = 700;
 const MAX_FAULT_MS = 1_500;
-/** All faults and restarts are over, and so is all stale belief. */
-const HEALED_AT_MS = 9_000;
+/** By now all faults and restarts are over and all stale leases are dropped. */
+const FAULTS_END_AT_MS = 9_000;
 const END_AT_MS = 16_000;
 const MAX_FAULTS = 3;
 const WAIT_MS = 2_500;
 
 const kinds: readonly CallKind[] = ['model', 'patient', 'plain', 'single'];
 
-type Draw = ReturnType<typeof createSeededRandom>;
+type SeededRandom = ReturnType<typeof createSeededRandom>;
 
-/** What a schedule puts its weight on. */
+/** The kinds of calls and faults that a schedule is drawn from. */
 interface Profile {
   readonly kinds: readonly CallKind[];
   readonly faults: readonly FaultKind[];
   readonly callCount: number;
-  /** Calls share so many keys; 0: each has its own. */
+  /** Number of keys that the calls share, or 0 if each call has its own. */
   readonly sharedKeys: number;
 }
 
-const everything: Profile = {
+const mixedProfile: Profile = {
   kinds,
   faults: faultKinds,
   callCount: 4,
   sharedKeys: 0,
 };
 
-/** Several callers fight over few keys while the platform misbehaves. */
-const journalled: Profile = {
+/** Several callers use the same few keys while the platform has faults. */
+const journalProfile: Profile = {
   kinds: ['single'],
   faults: faultKinds.filter(
     kind =>
@@ -78,65 +81,72 @@
   sharedKeys: 2,
 };
 
-const EVERYTHING_SHARE = 0.6;
-const WARM_UP_DRAWS = 32;
+const MIXED_SHARE = 0.6;
+const DISCARDED_NUMBERS = 32;
 
-function drawCall(random: Draw, profile: Profile, i: number): CallSpec {
-  const chance = (share: number) => random.nextFloat() < share;
+function createRandomCall(
+  random: SeededRandom,
+  profile: Profile,
+  i: number,
+): CallSpec {
+  const isDrawn = (share: number) => random.nextFloat() < share;
   const kind = profile.kinds[random.nextInt(profile.kinds.length)];
   const isKeyed =
     profile.sharedKeys > 0 ||
     kind === 'patient' ||
-    (kind !== 'plain' && chance(0.8));
+    (kind !== 'plain' && isDrawn(0.8));
   const number = profile.sharedKeys > 0 ? i % profile.sharedKeys : i;
   return {
     id: `c${number}`,
     sender: `s${i}`,
     kind,
     key: isKeyed ? `k${number}` : undefined,
-    isPoison: profile.sharedKeys === 0 && chance(0.05),
+    isPoison: profile.sharedKeys === 0 && isDrawn(0.05),
     entryIndex: random.nextInt(3),
-    atMs: WARM_UP_MS + random.nextInt(CALLS_WITHIN_MS),
-    hangUpAfterMs: chance(0.15) ? random.nextInt(200) : undefined,
-    waitMs: chance(0.2) ? 50 + random.nextInt(300) : WAIT_MS,
+    atMs: WARM_UP_MS + random.nextInt(CALL_WINDOW_MS),
+    hangUpAfterMs: isDrawn(0.15) ? random.nextInt(200) : undefined,
+    waitMs: isDrawn(0.2) ? 50 + random.nextInt(300) : WAIT_MS,
     maxSends: isKeyed ? 3 : 1,
   };
 }
 
-/** The same schedule for the same seed. */
+/** Creates a schedule. The same seed always gives the same schedule. */
 export function makeSchedule(seed: number): Schedule {
   const random = createSeededRandom(seed ^ 0x5bd1e995);
-  // Neighbouring seeds give alike first numbers.
-  for (let i = 0; i < WARM_UP_DRAWS; i++) random.nextFloat();
-  const isMixed = random.nextFloat() < EVERYTHING_SHARE;
-  const profile = isMixed ? everything : journalled;
+  // The first numbers of neighboring seeds are similar.
+  for (let i = 0; i < DISCARDED_NUMBERS; i++) random.nextFloat();
+  const isMixed = random.nextFloat() < MIXED_SHARE;
+  const profile = isMixed ? mixedProfile : journalProfile;
   const callCount = profile.callCount - 1 + random.nextInt(3);
   const calls = Array.from({length: callCount}, (_, i) =>
-    drawCall(random, profile, i),
+    createRandomCall(random, profile, i),
   );
   const faultCount = 1 + random.nextInt(MAX_FAULTS);
   const faults = Array.from({length: faultCount}, (): FaultEvent => ({
     kind: profile.faults[random.nextInt(profile.faults.length)],
-    atMs: WARM_UP_MS - 100 + random.nextInt(FAULTS_WITHIN_MS),
+    atMs: WARM_UP_MS - 100 + random.nextInt(FAULT_WINDOW_MS),
     durationMs: 50 + random.nextInt(MAX_FAULT_MS),
     target: random.nextInt(6),
   }));
   return {seed, calls, faults};
 }
 
-/** Sent when all is healed; they must succeed, and repeats must be stable. */
-function lateCalls(schedule: Schedule): readonly CallSpec[] {
+/**
+ * Calls sent after all faults are over. New calls must succeed, and repeats
+ * must get the recorded answer.
+ */
+function createCallsAfterFaults(schedule: Schedule): readonly CallSpec[] {
   const repeats = schedule.calls
     .filter(call => call.kind === 'single' && call.key && !call.isPoison)
-    .map(call => ({...call, atMs: HEALED_AT_MS - 1, entryIndex: 1}));
-  const fresh = kinds.map((kind, i): CallSpec => ({
+    .map(call => ({...call, atMs: FAULTS_END_AT_MS - 1, entryIndex: 1}));
+  const newCalls = kinds.map((kind, i): CallSpec => ({
     id: `late-${kind}`,
     sender: `late-${kind}`,
     kind,
     key: kind === 'single' ? 'late-key' : undefined,
     isPoison: false,
     entryIndex: i,
-    atMs: HEALED_AT_MS,
+    atMs: FAULTS_END_AT_MS,
     waitMs: WAIT_MS,
     maxSends: 1,
   }));
@@ -148,33 +158,35 @@
       maxSends: 1,
       isRepeat: true,
     })),
-    ...fresh,
+    ...newCalls,
   ];
 }
 
-/** Runs a schedule whose faults are injected by `prepare`. */
-export async function runPrepared(
+/** Runs a schedule whose faults are injected by `scheduleFaults`. */
+export async function runWithFaults(
   schedule: Schedule,
   mutant: Mutant,
-  prepare: (site: RequestSite, callers: SiteCallers) => void,
+  scheduleFaults: (site: RequestSite, callers: SiteCallers) => void,
 ): Promise<RunResult> {
   const site = createRequestSite(schedule.seed, mutant);
-  const heldAfterEnd: string[] = [];
-  const isLinkClean = !hasEngineLinkFault(schedule.faults);
+  const unreleasedMemory: string[] = [];
+  const hasCleanLinks = !hasEngineLinkFault(schedule.faults);
   const callers = createSiteCallers(site, requestId => {
-    if (!isLinkClean) return;
-    watchRelease(site, requestId, what => heldAfterEnd.push(what));
+    if (!hasCleanLinks) return;
+    watchRelease(site, requestId, what => unreleasedMemory.push(what));
   });
-  [...schedule.calls, ...lateCalls(schedule)].forEach(callers.schedule);
-  prepare(site, callers);
+  [...schedule.calls, ...createCallsAfterFaults(schedule)].forEach(
+    callers.schedule,
+  );
+  scheduleFaults(site, callers);
   await site.clock.advance(END_AT_MS);
   const records = callers.records();
   const violations = observeSite(site, records, {
     mayLeaveUnknown:
       hasEntryFault(schedule.faults) ||
       schedule.faults.some(({kind}) => kind.startsWith('service')),
-    heldAfterEnd,
-    healedAtMs: HEALED_AT_MS,
+    unreleasedMemory,
+    faultsEndAtMs: FAULTS_END_AT_MS,
   });
   return {violations, records, site};
 }
@@ -183,14 +195,14 @@
   schedule: Schedule,
   mutant: Mutant = noMutant,
 ): Promise<RunResult> {
-  return runPrepared(schedule, mutant, site => {
+  return runWithFaults(schedule, mutant, site => {
     for (const fault of schedule.faults) {
       site.clock.setTimer(fault.atMs, () => injectFault(site, fault));
     }
   });
 }
 
-/** The schedule and what came of it, for a person to read. */
+/** Formats a schedule and its result as text. */
 export function describeRun(schedule: Schedule, result: RunResult): string {
   const lines = [`seed ${schedule.seed}`];
   for (const fault of schedule.faults) {
@@ -201,16 +213,16 @@
   }
   for (const record of result.records) {
     const outcome = record.outcomes[0];
-    const said =
+    const outcomeText =
       outcome?.kind === 'failed' ? outcome.error.kind : outcome?.kind;
     lines.push(
       `  ${record.requestId} ${record.spec.kind} ${record.spec.key ?? '-'} ` +
-        `at ${record.arrivedAtMs} on ${record.entry.tag}: ${said} ` +
+        `at ${record.arrivedAtMs} on ${record.entry.tag}: ${outcomeText} ` +
         `at ${record.endedAtMs}${record.hasHungUp ? ', hung up' : ''}` +
         `${record.spec.isPoison ? ', poison' : ''}`,
     );
   }
-  for (const note of result.site.notes()) lines.push(`  note ${note}`);
+  for (const note of result.site.warnings()) lines.push(`  note ${note}`);
   for (const {promise, what} of result.violations) {
     lines.push(`  VIOLATION ${promise}: ${what}`);
   }
--- a/bench/support/fleet.ts
+++ b/bench/support/fleet.ts
@@ -1,4 +1,4 @@
-/** A small site of real processes on loopback, for the benches. */
+/** Runs a small site of real processes on loopback for the benches. */
 
 import {createHash} from 'node:crypto';
 import {mkdtempSync, rmSync, writeFileSync} from 'node:fs';
@@ -13,13 +13,13 @@
 export const PLAIN_SERVICE = 'uus-pearaamat';
 export const CALLER_KEY = 'bench-caller-key-0123';
 export const OPERATOR_KEY = 'bench-operator-key-0123456789';
-const KEYS = {
+const HOST_ENVIRONMENT = {
   CORIANDERBEND_PEER_KEY: 'bench-peer-key-0123456789',
   CORIANDERBEND_OPERATOR_KEY: OPERATOR_KEY,
 };
 const DOMAINS = ['ylikool-saal', 'annelinn-saal', 'raadi-ruum'];
 const READY_TIMEOUT_MS = 15_000;
-const POLL_MS = 100;
+const POLL_INTERVAL_MS = 100;
 
 export interface FleetOptions {
   readonly hostCount: number;
@@ -53,13 +53,13 @@
   stop(): Promise<void>;
 }
 
-interface Listed {
+interface UpstreamEntry {
   readonly id: string;
   readonly address: string;
   readonly failureDomain: string;
 }
 
-/** Ports in a row that were free a moment ago. */
+/** Finds ports by binding and closing them; another process may take one. */
 export async function findFreePorts(count: number): Promise<readonly number[]> {
   const servers = await Promise.all(
     Array.from(
@@ -87,7 +87,7 @@
   return (await (await fetch(url)).json()) as T;
 }
 
-async function isUp(url: string): Promise<boolean> {
+async function isResponding(url: string): Promise<boolean> {
   try {
     const response = await fetch(url);
     await response.arrayBuffer();
@@ -98,44 +98,51 @@
 }
 
 export async function waitUntilUp(url: string, child: Child): Promise<void> {
-  const endMs = Date.now() + READY_TIMEOUT_MS;
-  while (!(await isUp(url))) {
-    if (Date.now() > endMs || child.hasEnded()) {
-      throw new Error(`${child.name} did not come up.\n${child.output()}`);
+  const deadlineMs = Date.now() + READY_TIMEOUT_MS;
+  while (!(await isResponding(url))) {
+    if (Date.now() > deadlineMs || child.hasEnded()) {
+      throw new Error(
+        `${child.name} was not ready in time.\n${child.output()}`,
+      );
     }
-    await sleep(POLL_MS);
+    await sleep(POLL_INTERVAL_MS);
   }
 }
 
-async function waitForLine(child: Child): Promise<readonly string[]> {
-  const endMs = Date.now() + READY_TIMEOUT_MS;
+async function waitForAddresses(child: Child): Promise<readonly string[]> {
+  const deadlineMs = Date.now() + READY_TIMEOUT_MS;
   for (;;) {
     const found = /listens on (.+)\n/.exec(child.output());
     if (found) return found[1].trim().split(' ');
-    if (Date.now() > endMs || child.hasEnded()) {
-      throw new Error(`${child.name} did not start.\n${child.output()}`);
+    if (Date.now() > deadlineMs || child.hasEnded()) {
+      throw new Error(
+        `${child.name} did not report its addresses.\n${child.output()}`,
+      );
     }
-    await sleep(POLL_MS);
+    await sleep(POLL_INTERVAL_MS);
   }
 }
 
-/** Starts one stand-in process, which may listen on several addresses. */
+/** Starts one stand-in process, which listens on `count` addresses. */
 async function startStandIn(
   kind: string,
   count: number,
   flags: readonly string[],
 ): Promise<{child: Child; addresses: readonly string[]}> {
-  const counted = count > 1 ? ['--count', String(count)] : [];
+  const countFlags = count > 1 ? ['--count', String(count)] : [];
   const child = startProgram(`stand-in ${kind}`, [
     'stand-in',
     kind,
     ...flags,
-    ...counted,
+    ...countFlags,
   ]);
-  return {child, addresses: await waitForLine(child)};
+  return {child, addresses: await waitForAddresses(child)};
 }
 
-function list(prefix: string, addresses: readonly string[]): Listed[] {
+function createUpstreamEntries(
+  prefix: string,
+  addresses: readonly string[],
+): UpstreamEntry[] {
   return addresses.map((address, index) => ({
     id: `${prefix}-${index + 1}`,
     address,
@@ -165,8 +172,14 @@
           ...options.modelTargets,
         },
         upstreams: [
-          ...list('prefill', prefills).map(one => ({...one, role: 'prefill'})),
-          ...list('decode', decodes).map(one => ({...one, role: 'decode'})),
+          ...createUpstreamEntries('prefill', prefills).map(upstream => ({
+            ...upstream,
+            role: 'prefill',
+          })),
+          ...createUpstreamEntries('decode', decodes).map(upstream => ({
+            ...upstream,
+            role: 'decode',
+          })),
         ],
       },
       {
@@ -174,7 +187,7 @@
         kind: 'plain',
         nonRepeatable: [{method: 'POST', path: '/postings*'}],
         targets: {waitMs: 5_000},
-        upstreams: list('ledger', services),
+        upstreams: createUpstreamEntries('ledger', services),
       },
     ],
     accounts: [
@@ -190,7 +203,7 @@
   });
 }
 
-/** Starts stand-ins and hosts, and brings a first configuration in force. */
+/** Starts the stand-ins and hosts and applies the first configuration. */
 export async function startFleet(options: FleetOptions): Promise<Fleet> {
   const folder = mkdtempSync(path.join(tmpdir(), 'bench-fleet-'));
   const platform = await startStandIn(
@@ -220,7 +233,7 @@
       startStandIn('service', 1, options.serviceFlags ?? []),
     ),
   );
-  const serviceAddresses = services.map(one => one.addresses[0]);
+  const serviceAddresses = services.map(service => service.addresses[0]);
 
   const ports = await findFreePorts(options.hostCount * 2);
   const logLevel = options.logLevel ?? 'warn';
@@ -229,7 +242,7 @@
     return startProgram(
       `host-${index + 1}`,
       ['serve', '--host-file', file, '--log-level', logLevel],
-      KEYS,
+      HOST_ENVIRONMENT,
     );
   }
   const hosts: FleetHost[] = [];
@@ -244,34 +257,34 @@
     writeFileSync(file, stringify({...host, site: 'loopback', platformUrl}));
     const {hostId, failureDomain, peerAddress} = host;
     const state = {address: peerAddress, role: 'router', state: 'live'};
-    const listed = {hostId, failureDomain, ...state};
-    await putJson(`${platformUrl}/hosts/${hostId}`, listed);
+    const hostRecord = {hostId, failureDomain, ...state};
+    await putJson(`${platformUrl}/hosts/${hostId}`, hostRecord);
     hosts.push({...host, child: startHost(index)});
   }
   for (const host of hosts) {
     await waitUntilUp(`http://${host.callerAddress}/healthz`, host.child);
   }
 
-  const base = path.join(folder, 'base.yaml');
+  const settingsFile = path.join(folder, 'base.yaml');
   const settings = createSettings(
     options,
     prefill.addresses,
     decode.addresses,
     serviceAddresses,
   );
-  writeFileSync(base, settings);
+  writeFileSync(settingsFile, settings);
   const apply = startProgram(
     'config apply',
-    ['config', 'apply', '--base', base, '--peer', hosts[0].peerAddress],
-    KEYS,
+    ['config', 'apply', '--base', settingsFile, '--peer', hosts[0].peerAddress],
+    HOST_ENVIRONMENT,
   );
   const code = await apply.ended;
-  if (code !== 0) throw new Error(`config apply: ${apply.output()}`);
+  if (code !== 0) throw new Error(`config apply failed: ${apply.output()}`);
   for (const host of hosts) {
     await waitUntilUp(`http://${host.callerAddress}/readyz`, host.child);
   }
 
-  const others = [platform, prefill, decode, ...services];
+  const standIns = [platform, prefill, decode, ...services];
   return {
     platformUrl,
     platform: platform.child,
@@ -287,7 +300,7 @@
     async stop() {
       const children = [
         ...hosts.map(host => host.child),
-        ...others.map(other => other.child),
+        ...standIns.map(other => other.child),
       ];
       for (const child of children) {
         if (!child.hasEnded()) child.kill('SIGKILL');
--- a/bench/support/matrix_cells.ts
+++ b/bench/support/matrix_cells.ts
@@ -1,6 +1,9 @@
-/** The cells of the fault matrix: what is sent, and when which fault strikes. */
+/**
+ * The cells of the fault matrix. A cell sends the calls of its column and
+ * injects the fault of its row when a call reaches the step of the column.
+ */
 
-import {runPrepared, type RunResult} from './fault_run.js';
+import {runWithFaults, type RunResult} from './fault_run.js';
 import type {CallKind, CallSpec} from './site_callers.js';
 import {
   faultKinds,
@@ -11,8 +14,8 @@
 } from './site_faults.js';
 import {createStepWatch, type MachineName} from './step_watch.js';
 
-/** A fault that a column needs before its step can be reached at all. */
-interface Preparation {
+/** A fault without which a call never reaches the step of the column. */
+interface PriorFault {
   readonly atStep: string;
   readonly kind: FaultKind;
   readonly targets: readonly number[];
@@ -22,10 +25,10 @@
   readonly machine: MachineName;
   readonly step: string;
   readonly calls: readonly CallSpec[];
-  readonly preparation?: Preparation;
+  readonly priorFault?: PriorFault;
 }
 
-/** Rows: faults of the harness, and two that lie in the caller. */
+/** The faults of the rows: those of the site, and two caused by a caller. */
 export type MatrixFault = FaultKind | 'caller hangs up' | 'request is poison';
 
 export const matrixFaults: readonly MatrixFault[] = [
@@ -41,10 +44,10 @@
 const WAIT_MS = 2_500;
 const TARGETS = [0, 1, 2];
 
-function call(
+function createCall(
   sender: string,
   kind: CallKind,
-  patch: Partial<CallSpec> = {},
+  overrides: Partial<CallSpec> = {},
 ): CallSpec {
   return {
     id: sender,
@@ -54,57 +57,59 @@
     entryIndex: 0,
     atMs: START_MS,
     waitMs: WAIT_MS,
-    maxSends: patch.key === undefined ? 1 : 3,
-    ...patch,
+    maxSends: overrides.key === undefined ? 1 : 3,
+    ...overrides,
   };
 }
 
 const modelCalls: readonly CallSpec[] = [
-  call('m0', 'patient', {key: 'k0'}),
-  call('m1', 'model', {key: 'k1', entryIndex: 1, atMs: START_MS + 5}),
-  call('m2', 'model', {entryIndex: 2, atMs: START_MS + 9}),
+  createCall('m0', 'patient', {key: 'k0'}),
+  createCall('m1', 'model', {key: 'k1', entryIndex: 1, atMs: START_MS + 5}),
+  createCall('m2', 'model', {entryIndex: 2, atMs: START_MS + 9}),
 ];
 const adoptedCalls: readonly CallSpec[] = [
-  call('m0', 'patient', {key: 'k0'}),
-  call('m1', 'patient', {
+  createCall('m0', 'patient', {key: 'k0'}),
+  createCall('m1', 'patient', {
     id: 'm0',
     key: 'k0',
     entryIndex: 1,
     atMs: START_MS + 60,
   }),
 ];
-const plainCalls: readonly CallSpec[] = [call('p0', 'plain')];
-const singleCalls: readonly CallSpec[] = [call('s0', 'single', {key: 'k0'})];
-const racingCalls: readonly CallSpec[] = [
-  call('s0', 'single', {key: 'k0'}),
-  call('s1', 'single', {
+const plainCalls: readonly CallSpec[] = [createCall('p0', 'plain')];
+const singleCalls: readonly CallSpec[] = [
+  createCall('s0', 'single', {key: 'k0'}),
+];
+const concurrentCalls: readonly CallSpec[] = [
+  createCall('s0', 'single', {key: 'k0'}),
+  createCall('s1', 'single', {
     id: 's0',
     key: 'k0',
     entryIndex: 1,
     atMs: START_MS + 2,
   }),
 ];
-const hurriedCalls: readonly CallSpec[] = [
-  call('s0', 'single', {key: 'k0', waitMs: 120}),
+const shortWaitCalls: readonly CallSpec[] = [
+  createCall('s0', 'single', {key: 'k0', waitMs: 120}),
 ];
 
-const engineDeath: Preparation = {
+const decodeEngineCrash: PriorFault = {
   atStep: 'decoding',
   kind: 'decode engine dies',
   targets: [0, 1],
 };
 
-function columnsOf(
+function createColumns(
   machine: MachineName,
   calls: readonly CallSpec[],
   steps: readonly string[],
-  preparation?: Preparation,
+  priorFault?: PriorFault,
 ): readonly MatrixColumn[] {
-  return steps.map(step => ({machine, step, calls, preparation}));
+  return steps.map(step => ({machine, step, calls, priorFault}));
 }
 
 export const matrixColumns: readonly MatrixColumn[] = [
-  ...columnsOf('model', modelCalls, [
+  ...createColumns('model', modelCalls, [
     'looking-up',
     'awaiting-grant',
     'awaiting-start',
@@ -112,33 +117,33 @@
     'importing',
     'decoding',
   ]),
-  ...columnsOf(
+  ...createColumns(
     'model',
     modelCalls,
     ['probing', 'asking-retry', 'backing-off'],
-    engineDeath,
+    decodeEngineCrash,
   ),
-  ...columnsOf('model', adoptedCalls, ['adopted']),
-  ...columnsOf('model', modelCalls, ['ended']),
-  ...columnsOf('plain', plainCalls, ['calling', 'ended']),
-  ...columnsOf('plain', plainCalls, ['probing', 'asking-retry'], {
+  ...createColumns('model', adoptedCalls, ['adopted']),
+  ...createColumns('model', modelCalls, ['ended']),
+  ...createColumns('plain', plainCalls, ['calling', 'ended']),
+  ...createColumns('plain', plainCalls, ['probing', 'asking-retry'], {
     atStep: 'calling',
     kind: 'service dies',
     targets: [0, 1],
   }),
-  ...columnsOf('single', singleCalls, [
+  ...createColumns('single', singleCalls, [
     'awaiting-intent',
     'calling',
     'recording',
     'ended',
   ]),
-  ...columnsOf('single', racingCalls, ['waiting']),
-  ...columnsOf('single', singleCalls, ['asking-retry'], {
+  ...createColumns('single', concurrentCalls, ['waiting']),
+  ...createColumns('single', singleCalls, ['asking-retry'], {
     atStep: 'awaiting-intent',
     kind: 'service dies',
     targets: [0, 1],
   }),
-  ...columnsOf('single', hurriedCalls, ['lingering'], {
+  ...createColumns('single', shortWaitCalls, ['lingering'], {
     atStep: 'calling',
     kind: 'service freezes',
     targets: [0, 1],
@@ -150,7 +155,10 @@
   readonly runs: readonly RunResult[];
 }
 
-function faultEvents(kind: MatrixFault, target: number): readonly FaultEvent[] {
+function createFaultEvents(
+  kind: MatrixFault,
+  target: number,
+): readonly FaultEvent[] {
   if (kind === 'caller hangs up' || kind === 'request is poison') return [];
   return [{kind, atMs: START_MS, durationMs: FAULT_MS, target}];
 }
@@ -162,27 +170,27 @@
   target: number,
 ): Promise<RunResult & {readonly isReached: boolean}> {
   const watch = createStepWatch();
-  const {machine, step, preparation} = column;
+  const {machine, step, priorFault} = column;
   const faults = [
-    ...faultEvents(first, target),
-    ...(second ? faultEvents(second, target + 1) : []),
+    ...createFaultEvents(first, target),
+    ...(second ? createFaultEvents(second, target + 1) : []),
   ];
-  const prepared = (preparation?.targets ?? []).flatMap(each =>
-    faultEvents(preparation!.kind, each),
+  const priorEvents = (priorFault?.targets ?? []).flatMap(each =>
+    createFaultEvents(priorFault!.kind, each),
   );
   let isReached = false;
   const calls = column.calls.map(each => ({
     ...each,
     isPoison: first === 'request is poison' && each.id === column.calls[0].id,
   }));
-  const result = await runPrepared(
-    {seed: 1 + target, calls, faults: [...prepared, ...faults]},
+  const result = await runWithFaults(
+    {seed: 1 + target, calls, faults: [...priorEvents, ...faults]},
     {name: 'watch', machines: watch.machines},
     (site, callers) => {
-      if (preparation) {
-        watch.onStep(machine, preparation.atStep, () => {
+      if (priorFault) {
+        watch.onStep(machine, priorFault.atStep, () => {
           site.clock.setTimer(0, () =>
-            prepared.forEach(fault => injectFault(site, fault)),
+            priorEvents.forEach(fault => injectFault(site, fault)),
           );
         });
       }
@@ -198,7 +206,7 @@
   return {...result, isReached};
 }
 
-/** Runs a cell once for each process or upstream that the fault may strike. */
+/** Runs a cell once for each process or upstream that the fault can affect. */
 export async function runCell(
   column: MatrixColumn,
   first: MatrixFault,
--- a/bench/support/matrix_page.ts
+++ b/bench/support/matrix_page.ts
@@ -1,4 +1,4 @@
-/** Writes the fault matrix as a page. */
+/** Renders the results of the fault matrix as a Markdown page. */
 
 import type {MatrixFault} from './matrix_cells.js';
 import type {MachineName} from './step_watch.js';
@@ -7,7 +7,7 @@
   readonly step: string;
   readonly isReached: boolean;
   readonly isRed: boolean;
-  /** Second faults laid on top. */
+  /** Runs with a second fault, and how many of them violate a guarantee. */
   readonly pairs: {readonly count: number; readonly red: number};
 }
 
@@ -50,7 +50,7 @@
 - **Host replaced**: each "dies" row starts a new incarnation after 1.5 s.
 `;
 
-function cellText(cell: MatrixCell): string {
+function formatCell(cell: MatrixCell): string {
   if (cell.isRed) return 'RED';
   if (!cell.isReached) return 'not reached';
   const {count, red} = cell.pairs;
@@ -58,13 +58,15 @@
   return count > 0 ? `ok +${count}` : 'ok';
 }
 
-function table(rows: readonly MatrixRow[]): string {
+function formatTable(rows: readonly MatrixRow[]): string {
   const steps = rows[0].cells.map(({step}) => step);
-  const line = (cells: readonly string[]) => `| ${cells.join(' | ')} |\n`;
+  const formatRow = (cells: readonly string[]) => `| ${cells.join(' | ')} |\n`;
   return (
-    line(['Fault', ...steps]) +
-    line(['---', ...steps.map(() => '---')]) +
-    rows.map(({fault, cells}) => line([fault, ...cells.map(cellText)])).join('')
+    formatRow(['Fault', ...steps]) +
+    formatRow(['---', ...steps.map(() => '---')]) +
+    rows
+      .map(({fault, cells}) => formatRow([fault, ...cells.map(formatCell)]))
+      .join('')
   );
 }
 
@@ -78,13 +80,13 @@
     (sum, cell) => sum + Number(cell.isRed) + cell.pairs.red,
     0,
   );
-  const missed = cells.filter(cell => !cell.isReached).length;
+  const unreachedCount = cells.filter(cell => !cell.isReached).length;
   const tables = (['model', 'plain', 'single'] as const).map(machine => {
-    const own = rows.filter(row => row.machine === machine);
-    return `## ${titles[machine]}\n\n${table(own)}\n`;
+    const machineRows = rows.filter(row => row.machine === machine);
+    return `## ${titles[machine]}\n\n${formatTable(machineRows)}\n`;
   });
-  const sum =
+  const summary =
     `${cells.length} single cells, ${pairCount} pairs, ${redCount} red, ` +
-    `${missed} not reached.\n\n`;
-  return {text: head + sum + tables.join('') + foot, redCount};
+    `${unreachedCount} not reached.\n\n`;
+  return {text: head + summary + tables.join('') + foot, redCount};
 }
--- a/bench/support/mutants.ts
+++ b/bench/support/mutants.ts
@@ -1,6 +1,6 @@
 /**
- * Deliberate defects, each of which the fault harness must catch. They change
- * what a machine orders or what a port is told, as a real mistake would.
+ * Deliberate defects, each of which the fault harness must detect. They change
+ * the effects of a state machine or the calls to a port.
  */
 
 import {stepModel} from '../../src/core/request/model_machine.js';
@@ -18,8 +18,8 @@
 import type {TablePort} from '../../src/ports/table.js';
 import type {Mutant} from './site_entry.js';
 
-/** Leaves out or rewrites the model machine's effects. */
-function modelEffects(
+/** Removes or replaces effects of the model machine. */
+function mutateModelEffects(
   change: (
     effect: ModelEffect,
     before: ModelState,
@@ -41,7 +41,7 @@
   };
 }
 
-function singleEffects(
+function mutateSingleRunEffects(
   change: (effect: SingleRunEffect) => readonly SingleRunEffect[],
 ): Pick<Mutant, 'machines'> {
   return {
@@ -54,8 +54,8 @@
   };
 }
 
-/** Drops conditions from the journal's transactions. */
-function withoutConditions(
+/** Removes conditions from the journal's transactions. */
+function dropConditions(
   isDropped: (key: string) => boolean,
 ): (table: TablePort) => TablePort {
   return table => ({
@@ -73,7 +73,7 @@
   });
 }
 
-function withEngines(
+function mutateEnginePorts(
   change: (engine: EnginePort) => Partial<EnginePort>,
 ): Pick<Mutant, 'wrapEngines'> {
   return {
@@ -84,7 +84,7 @@
   };
 }
 
-const isNotReleased =
+const isReleaseFrom =
   (effect: ModelEffect, from: ModelState['step']) => (state: ModelState) =>
     state.step === from && effect.kind === 'release';
 
@@ -103,15 +103,15 @@
     name: 'release forgotten when a request ends during the import',
     hasNoSweep: true,
     needsLivingEntries: true,
-    ...modelEffects((effect, before) =>
-      isNotReleased(effect, 'importing')(before) ? [] : [effect],
+    ...mutateModelEffects((effect, before) =>
+      isReleaseFrom(effect, 'importing')(before) ? [] : [effect],
     ),
   },
   {
     name: 'release forgotten when a request ends during the decode',
     hasNoSweep: true,
     needsLivingEntries: true,
-    ...modelEffects((effect, before) =>
+    ...mutateModelEffects((effect, before) =>
       before.step === 'decoding' &&
       (effect.kind === 'release' || effect.kind === 'stop-stream')
         ? []
@@ -124,7 +124,7 @@
   },
   {
     name: 'grant not given back on failure',
-    ...modelEffects(effect =>
+    ...mutateModelEffects(effect =>
       effect.kind === 'report' &&
       effect.progress.kind === 'ended' &&
       effect.progress.result === 'failed'
@@ -134,7 +134,7 @@
   },
   {
     name: 'late grant not given back',
-    ...modelEffects((effect, before, event) =>
+    ...mutateModelEffects((effect, before, event) =>
       event.kind === 'grant-given' &&
       before.step === 'ended' &&
       effect.kind === 'report'
@@ -144,7 +144,7 @@
   },
   {
     name: 'refusal after dispatch called not run',
-    ...singleEffects(effect =>
+    ...mutateSingleRunEffects(effect =>
       effect.kind === 'fail' && effect.error.kind === 'outcome-unknown'
         ? [{...effect, error: {...effect.error, kind: 'no-upstream'}}]
         : [effect],
@@ -152,7 +152,7 @@
   },
   {
     name: 'failed prefill called not run',
-    ...modelEffects(effect =>
+    ...mutateModelEffects(effect =>
       effect.kind === 'fail' && effect.error.kind === 'upstream-failed'
         ? [{...effect, error: {...effect.error, kind: 'overloaded'}}]
         : [effect],
@@ -162,8 +162,9 @@
     name: 'retry after the first byte starts the answer anew',
     machines: {
       stepModel(facts, state, event) {
-        const isAnew = event.kind === 'retry-due' && state.deliveredTokens > 0;
-        const from = isAnew ? {...state, deliveredTokens: 0} : state;
+        const isRestarted =
+          event.kind === 'retry-due' && state.deliveredTokens > 0;
+        const from = isRestarted ? {...state, deliveredTokens: 0} : state;
         return stepModel(facts, from, event);
       },
     },
@@ -172,12 +173,12 @@
     name: 'repeated frames not dropped',
     machines: {
       stepModel(facts, state, event) {
-        const isOld =
+        const isRepeated =
           event.kind === 'frame' &&
           event.frame.kind === 'tokens' &&
           state.step === 'decoding' &&
           event.frame.offset < state.deliveredTokens;
-        if (!isOld) return stepModel(facts, state, event);
+        if (!isRepeated) return stepModel(facts, state, event);
         const offset = state.deliveredTokens;
         const frame = {...event.frame, offset};
         return stepModel(facts, state, {...event, frame});
@@ -198,11 +199,11 @@
   },
   {
     name: 'journal writes not conditional on the epoch and the head',
-    wrapTable: withoutConditions(() => true),
+    wrapTable: dropConditions(() => true),
   },
   {
     name: 'journal writes conditional on the epoch only',
-    wrapTable: withoutConditions(key => key.startsWith('journal')),
+    wrapTable: dropConditions(key => key.startsWith('journal')),
   },
   {
     name: 'an unknown write taken for applied',
@@ -218,11 +219,13 @@
   },
   {
     name: 'the end of a call never recorded',
-    ...singleEffects(effect => (effect.kind === 'end-intent' ? [] : [effect])),
+    ...mutateSingleRunEffects(effect =>
+      effect.kind === 'end-intent' ? [] : [effect],
+    ),
   },
   {
     name: 'key not set free when nothing was sent',
-    ...singleEffects(effect =>
+    ...mutateSingleRunEffects(effect =>
       effect.kind === 'end-intent' && effect.end.kind === 'released'
         ? []
         : [effect],
@@ -232,7 +235,7 @@
     name: 'cancel never sent to engines',
     hasNoSweep: true,
     needsLivingEntries: true,
-    ...withEngines(() => ({
+    ...mutateEnginePorts(() => ({
       cancel: () => Promise.resolve('released' as const),
     })),
   },
--- a/bench/support/operators.ts
+++ b/bench/support/operators.ts
@@ -1,4 +1,4 @@
-/** Operators of a site of real processes, for the benches. */
+/** Operator clients for the benches that run a site of real processes. */
 
 import {randomUUID} from 'node:crypto';
 import {createClient, type Client} from '@connectrpc/connect';
@@ -12,8 +12,8 @@
 const CALL_TIMEOUT_MS = 8000;
 const STATUS_TIMEOUT_MS = 500;
 
-/** The parts of a status page that the benches look at. */
-export interface SeenStatus {
+/** The parts of a host status that the benches read. */
+export interface HostStatus {
   readonly configuration: {
     readonly inForceRevision: number;
     readonly headRevision: number;
@@ -22,13 +22,13 @@
     readonly hostId: string;
     readonly state: string;
   }[];
-  /** Names and fences of the leases that the process holds. */
+  /** The leases that the process holds. */
   readonly leases: readonly {readonly name: string}[];
   readonly journalPartitions: readonly number[];
   readonly homes: readonly {readonly shardId: string}[];
 }
 
-export interface ChangeWish {
+export interface ChangeRequest {
   readonly body: string;
   readonly basedOn: number;
   readonly author: string;
@@ -36,35 +36,38 @@
 
 export interface OperatorSeat {
   readonly host: FleetHost;
-  /** Undefined when the process does not answer. */
-  readStatus(): Promise<SeenStatus | undefined>;
-  /** Asks again with the same change id until the outcome is known. */
-  apply(wish: ChangeWish): Promise<ApplyReply & {readonly changeId: string}>;
-  /** Change id of a revision; undefined when there is none. */
+  /** Returns undefined if the process does not answer. */
+  readStatus(): Promise<HostStatus | undefined>;
+  /** Retries with the same change id until the outcome is known. */
+  apply(wish: ChangeRequest): Promise<ApplyReply & {readonly changeId: string}>;
+  /** Returns undefined if the revision does not exist. */
   readChangeId(revision: number): Promise<string | undefined>;
   readBody(): Promise<{readonly revision: number; readonly body: string}>;
 }
 
-const UNDECIDED: ReadonlySet<string> = new Set(['unknown', 'refused']);
-const MAX_ASKS = 40;
+const RETRIED_REPLY_KINDS: ReadonlySet<string> = new Set([
+  'unknown',
+  'refused',
+]);
+const MAX_ATTEMPTS = 40;
 
-async function applyUntilKnown(
+async function applyUntilDecided(
   client: Client<typeof Operator>,
-  wish: ChangeWish,
+  wish: ChangeRequest,
 ) {
   const changeId = randomUUID();
-  for (let asks = 0; asks < MAX_ASKS; asks++) {
+  for (let attempts = 0; attempts < MAX_ATTEMPTS; attempts++) {
     try {
       const reply = await client.apply(
         {...wish, changeId, comment: 'bench'},
         {timeoutMs: CALL_TIMEOUT_MS},
       );
-      if (!UNDECIDED.has(reply.kind)) return {...reply, changeId};
+      if (!RETRIED_REPLY_KINDS.has(reply.kind)) return {...reply, changeId};
     } catch {
-      // The process was killed; the change id lets the operator ask again.
+      // The process was killed. The change id makes the retry safe.
     }
   }
-  throw new Error('The outcome of a change stayed unknown.');
+  throw new Error('The outcome of a change is unknown after the last attempt.');
 }
 
 export function createOperatorSeat(host: FleetHost): OperatorSeat {
@@ -75,12 +78,12 @@
     async readStatus() {
       try {
         const reply = await client.status({}, {timeoutMs: STATUS_TIMEOUT_MS});
-        return JSON.parse(reply.json) as SeenStatus;
+        return JSON.parse(reply.json) as HostStatus;
       } catch {
         return undefined;
       }
     },
-    apply: wish => applyUntilKnown(client, wish),
+    apply: wish => applyUntilDecided(client, wish),
     async readChangeId(revision) {
       const reply = await client.show({revision}, {timeoutMs: CALL_TIMEOUT_MS});
       return reply.revision?.changeId;
--- a/bench/support/posting_audit.ts
+++ b/bench/support/posting_audit.ts
@@ -1,4 +1,4 @@
-/** Compares what callers were told with what the service's books say it ran. */
+/** Compares the answers to callers with the runs that the services recorded. */
 
 import type {ServiceBooks} from '../../stand_ins/service_core.js';
 import {getJson} from './fleet.js';
@@ -11,34 +11,34 @@
   readonly unknown: number;
   readonly refused: number;
   readonly triesWithoutAnswer: number;
-  /** Keys that were run more than once. */
+  /** Keys whose call ran more than once. */
   readonly doubles: readonly string[];
-  /** Requests that were refused as not run, and had run. */
+  /** Requests that were refused with run state `not-run` but had run. */
   readonly falselyNotRun: readonly string[];
-  /** Keys that were answered as done, and never ran. */
+  /** Keys that got an answer although their call never ran. */
   readonly answeredNotRun: readonly string[];
-  /** Keys of which the caller never heard a run, and which had run. */
+  /** Number of keys whose call ran although the caller got no answer. */
   readonly unknownButRan: number;
   readonly p50Ms: number;
   readonly p99Ms: number;
   readonly maxMs: number;
-  /** How often each refusal code came. */
+  /** Number of refusals by error code. */
   readonly codes: Readonly<Record<string, number>>;
 }
 
-export async function readRuns(
+export async function readRunCounts(
   serviceAddresses: readonly string[],
 ): Promise<{byKey: Map<string, number>; byRequest: Map<string, number>}> {
   const byKey = new Map<string, number>();
   const byRequest = new Map<string, number>();
-  const add = (map: Map<string, number>, key: string) =>
+  const increment = (map: Map<string, number>, key: string) =>
     map.set(key, (map.get(key) ?? 0) + 1);
   for (const address of serviceAddresses) {
     const url = `http://${address}/stand-in/books`;
     const books = await getJson<ServiceBooks>(url);
     for (const run of books.runs) {
-      add(byKey, run.idempotencyKey ?? '');
-      add(byRequest, run.requestId);
+      increment(byKey, run.idempotencyKey ?? '');
+      increment(byRequest, run.requestId);
     }
   }
   return {byKey, byRequest};
@@ -48,9 +48,9 @@
   results: readonly PostingResult[],
   serviceAddresses: readonly string[],
 ): Promise<PostingAudit> {
-  const {byKey, byRequest} = await readRuns(serviceAddresses);
-  const runsOf = (result: PostingResult) => byKey.get(result.key) ?? 0;
-  const of = (outcome: PostingResult['outcome']) =>
+  const {byKey, byRequest} = await readRunCounts(serviceAddresses);
+  const countRuns = (result: PostingResult) => byKey.get(result.key) ?? 0;
+  const withOutcome = (outcome: PostingResult['outcome']) =>
     results.filter(result => result.outcome === outcome);
   const tries = results.flatMap(result => result.tries);
   const codes: Record<string, number> = {};
@@ -60,20 +60,23 @@
   const durations = results.map(result => result.durationMs);
   return {
     posts: results.length,
-    answered: of('answered').length,
-    unknown: of('unknown').length,
-    refused: of('refused').length,
-    triesWithoutAnswer: tries.filter(one => one.status === 0).length,
-    doubles: results.filter(one => runsOf(one) > 1).map(one => one.key),
+    answered: withOutcome('answered').length,
+    unknown: withOutcome('unknown').length,
+    refused: withOutcome('refused').length,
+    triesWithoutAnswer: tries.filter(each => each.status === 0).length,
+    doubles: results.filter(each => countRuns(each) > 1).map(each => each.key),
     falselyNotRun: tries
-      .filter(one => one.runState === 'not-run' && byRequest.has(one.requestId))
-      .map(one => `${one.requestId} ${one.code}`),
-    answeredNotRun: of('answered')
-      .filter(one => runsOf(one) === 0)
-      .map(one => one.key),
-    unknownButRan: [...of('unknown'), ...of('refused')].filter(
-      one => runsOf(one) > 0,
-    ).length,
+      .filter(
+        each => each.runState === 'not-run' && byRequest.has(each.requestId),
+      )
+      .map(each => `${each.requestId} ${each.code}`),
+    answeredNotRun: withOutcome('answered')
+      .filter(each => countRuns(each) === 0)
+      .map(each => each.key),
+    unknownButRan: [
+      ...withOutcome('unknown'),
+      ...withOutcome('refused'),
+    ].filter(each => countRuns(each) > 0).length,
     p50Ms: quantile(durations, 0.5),
     p99Ms: quantile(durations, 0.99),
     maxMs: Math.max(...durations),
--- a/bench/support/posting_client.ts
+++ b/bench/support/posting_client.ts
@@ -1,17 +1,17 @@
 /**
- * A caller that posts with an Idempotency-Key and, as a real one would, asks
- * another entry with the same key until it has a clear outcome.
+ * A caller that posts with an Idempotency-Key and retries at the next entry
+ * with the same key until the outcome is known.
  */
 
 import {setTimeout as sleep} from 'node:timers/promises';
 import {Agent, request} from 'undici';
 import {CALLER_KEY, PLAIN_SERVICE} from './fleet.js';
 
-/** One answer of an entry to one try. */
-export interface PostingTry {
-  /** As the entry named the request; empty if there was no answer. */
+/** The outcome of one attempt at one entry. */
+export interface PostingAttempt {
+  /** The id that the entry gave the request, or empty without an answer. */
   readonly requestId: string;
-  /** 0 when the connection broke or nothing came in time. */
+  /** HTTP status, or 0 if the connection broke or the attempt timed out. */
   readonly status: number;
   readonly runState: string;
   readonly code: string;
@@ -21,7 +21,7 @@
   readonly key: string;
   readonly outcome: 'answered' | 'unknown' | 'refused';
   readonly body: string;
-  readonly tries: readonly PostingTry[];
+  readonly tries: readonly PostingAttempt[];
   readonly durationMs: number;
 }
 
@@ -31,20 +31,20 @@
 }
 
 const agent = new Agent({connections: null, pipelining: 1});
-const TRY_TIMEOUT_MS = 6_000;
-const GIVE_UP_MS = 25_000;
-const PAUSE_MS = 200;
+const ATTEMPT_TIMEOUT_MS = 6_000;
+const TOTAL_TIMEOUT_MS = 25_000;
+const DEFAULT_RETRY_DELAY_MS = 200;
 const MS_PER_SECOND = 1_000;
 const OK = 200;
-/** The call was sent and nobody will ever know; repeating it cannot help. */
-const OUTCOME_UNKNOWN = 'CB3001';
+/** The call was sent and its outcome cannot be known; a retry cannot help. */
+const OUTCOME_UNKNOWN_CODE = 'CB3001';
 
-interface TryAnswer extends PostingTry {
+interface AttemptResult extends PostingAttempt {
   readonly body: string;
-  readonly pauseMs: number;
+  readonly retryDelayMs: number;
 }
 
-function firstOf(value: string | string[] | undefined): string {
+function firstValue(value: string | string[] | undefined): string {
   return typeof value === 'string' ? value : (value?.[0] ?? '');
 }
 
@@ -56,14 +56,14 @@
   }
 }
 
-async function tryOnce(entry: string, key: string): Promise<TryAnswer> {
+async function postOnce(entry: string, key: string): Promise<AttemptResult> {
   try {
     const answer = await request(
       `http://${entry}/services/${PLAIN_SERVICE}/postings`,
       {
         method: 'POST',
         dispatcher: agent,
-        signal: AbortSignal.timeout(TRY_TIMEOUT_MS),
+        signal: AbortSignal.timeout(ATTEMPT_TIMEOUT_MS),
         headers: {
           authorization: `Bearer ${CALLER_KEY}`,
           'idempotency-key': key,
@@ -74,14 +74,15 @@
     );
     const body = await answer.body.text();
     const problem = answer.statusCode === OK ? {} : parseProblem(body);
-    const retryAfter = Number(firstOf(answer.headers['retry-after']));
+    const retryAfter = Number(firstValue(answer.headers['retry-after']));
     return {
-      requestId: firstOf(answer.headers['x-request-id']),
+      requestId: firstValue(answer.headers['x-request-id']),
       status: answer.statusCode,
       runState: answer.statusCode === OK ? 'ran' : (problem.runState ?? ''),
       code: problem.code ?? '',
       body,
-      pauseMs: retryAfter > 0 ? retryAfter * MS_PER_SECOND : PAUSE_MS,
+      retryDelayMs:
+        retryAfter > 0 ? retryAfter * MS_PER_SECOND : DEFAULT_RETRY_DELAY_MS,
     };
   } catch {
     return {
@@ -90,19 +91,19 @@
       runState: '',
       code: '',
       body: '',
-      pauseMs: PAUSE_MS,
+      retryDelayMs: DEFAULT_RETRY_DELAY_MS,
     };
   }
 }
 
-/** Posts at `entries` in turn, beginning with `first`. */
+/** Posts to `entries` in turn, beginning at index `first`. */
 export async function post(
   entries: readonly string[],
   first: number,
   key: string,
 ): Promise<PostingResult> {
   const startMs = performance.now();
-  const tries: PostingTry[] = [];
+  const tries: PostingAttempt[] = [];
   const finish = (outcome: PostingResult['outcome'], body: string) => ({
     key,
     outcome,
@@ -110,15 +111,15 @@
     tries,
     durationMs: performance.now() - startMs,
   });
-  for (let turn = first; ; turn++) {
-    const answer = await tryOnce(entries[turn % entries.length], key);
+  for (let entryIndex = first; ; entryIndex++) {
+    const answer = await postOnce(entries[entryIndex % entries.length], key);
     const {requestId, status, runState, code, body} = answer;
     tries.push({requestId, status, runState, code});
     if (status === OK) return finish('answered', body);
-    if (code === OUTCOME_UNKNOWN) return finish('unknown', body);
-    if (performance.now() - startMs > GIVE_UP_MS) {
+    if (code === OUTCOME_UNKNOWN_CODE) return finish('unknown', body);
+    if (performance.now() - startMs > TOTAL_TIMEOUT_MS) {
       return finish('refused', body);
     }
-    await sleep(answer.pauseMs);
+    await sleep(answer.retryDelayMs);
   }
 }
--- a/bench/support/request_site.ts
+++ b/bench/support/request_site.ts
@@ -1,6 +1,7 @@
 /**
- * A small site in virtual time for the fault harness: the real request modules
- * in three entry processes, and the stand-ins for all that lies around them.
+ * A small site in virtual time for the fault harness. Three entry processes run
+ * the production request modules; stand-ins replace the platform, the engines
+ * and the services.
  */
 
 import {createSeededRandom} from '../../src/core/seeded_random.js';
@@ -42,15 +43,15 @@
 export const PARTITION_COUNT = 2;
 export const POISON_TOKEN = 666;
 export const POISON_TEXT = 'poison';
-/** Mean answer length of the engines, for the expected texts. */
+/** Mean answer length of the engines, from which expected answers follow. */
 export const ANSWER_TOKENS = 12;
 
-const ONE_WAY_MS = 1;
-const GOSSIP_MS = 200;
-/** How late a death or a long pause shows to the others. */
-const DETECT_MS = 1_000;
-const DOWN_MS = 500;
-const RESTART_MS = 1_500;
+const ONE_WAY_LATENCY_MS = 1;
+const BROADCAST_DELAY_MS = 200;
+/** Delay until other processes detect a death or a pause. */
+const DETECTION_DELAY_MS = 1_000;
+const UNREACHABLE_MS = 500;
+const RESTART_DELAY_MS = 1_500;
 
 export interface RequestSite {
   readonly clock: VirtualClock;
@@ -61,39 +62,40 @@
   readonly services: readonly ServiceCore[];
   readonly home: SmallHome;
   readonly leases: SiteLeases;
-  /** The present incarnation of each entry. */
+  /** The current incarnation of each entry. */
   entries(): readonly SiteEntry[];
   killEntry(index: number): void;
   pauseEntry(index: number, durationMs: number): void;
-  /** The other processes cannot reach the entry, nor it them. */
-  cutOff(index: number, durationMs: number): void;
-  /** Tells the home and the pickers that an upstream leaves. */
-  leaveEngine(engine: EngineCore): void;
-  leaveService(service: ServiceCore): void;
-  /** Warnings of the modules, for the trace. */
-  notes(): readonly string[];
+  /** Cuts the connections between the entry and the other processes. */
+  isolateEntry(index: number, durationMs: number): void;
+  /** Marks an engine as leaving, and later also in the home. */
+  markEngineLeaving(engine: EngineCore): void;
+  /** Marks a service as leaving, and later also in the upstream picker. */
+  markServiceLeaving(service: ServiceCore): void;
+  /** Warnings and errors that the modules logged. */
+  warnings(): readonly string[];
 }
 
-function addressOf(kind: string, index: number): string {
+function createAddress(kind: string, index: number): string {
   return `${kind}-${index}:1`;
 }
 
 export function createRequestSite(seed: number, mutant: Mutant): RequestSite {
   const clock = createVirtualClock();
   const random = createSeededRandom(seed);
-  const notes: string[] = [];
+  const warnings: string[] = [];
   const platform = createPlatformCore(
     {clock, random},
-    {latencyMs: ONE_WAY_MS, writeMs: 2},
+    {latencyMs: ONE_WAY_LATENCY_MS, writeMs: 2},
   );
   const engines = new Map<string, EngineCore>();
   const services = new Map<string, ServiceCore>();
-  const deadSinceMs = new Map<string, number>();
+  const unresponsiveSinceMs = new Map<string, number>();
   const incarnations = Array.from({length: ENTRY_COUNT}, () => 1);
   const downUntilMs = new Map<string, number>();
-  const leavingIds = new Set<string>();
-  const cutOff = new Set<number>();
-  let turn = 0;
+  const leavingServiceIds = new Set<string>();
+  const isolatedEntries = new Set<number>();
+  let nextPickIndex = 0;
 
   function addEngine(role: 'prefill' | 'decode', index: number): EngineCore {
     const engine = createEngineCore(
@@ -107,13 +109,13 @@
         prefillMsPerToken: 0.5,
         crashOnTokens: [POISON_TOKEN],
         crashAt: role,
-        restartMs: RESTART_MS,
-        latencyMs: ONE_WAY_MS,
+        restartMs: RESTART_DELAY_MS,
+        latencyMs: ONE_WAY_LATENCY_MS,
         silenceDetectMs: 400,
         linkBytesPerMs: 100_000,
       },
     );
-    engines.set(addressOf(role, index), engine);
+    engines.set(createAddress(role, index), engine);
     return engine;
   }
 
@@ -123,18 +125,18 @@
       {
         serviceId: `ledger-${index}`,
         runMs: 8,
-        latencyMs: ONE_WAY_MS,
+        latencyMs: ONE_WAY_LATENCY_MS,
         crashOnTexts: [POISON_TEXT],
-        restartMs: RESTART_MS,
+        restartMs: RESTART_DELAY_MS,
       },
     );
-    services.set(addressOf('ledger', index), service);
+    services.set(createAddress('ledger', index), service);
     return service;
   }
 
   const prefill = [0, 1].map(index => addEngine('prefill', index));
   const decode = [0, 1, 2].map(index => addEngine('decode', index));
-  const plain = [0, 1].map(addService);
+  const plainServices = [0, 1].map(addService);
   const enginePort = (address: string) => engines.get(address)!;
   const home = mutant.hasRealHome
     ? createDispatcherHome({clock, enginePort, engines})
@@ -143,98 +145,107 @@
         enginePort,
         prefill: prefill.map((_, index) => ({
           engineId: `prefill-${index}`,
-          address: addressOf('prefill', index),
+          address: createAddress('prefill', index),
         })),
         decode: decode.map((_, index) => ({
           engineId: `decode-${index}`,
-          address: addressOf('decode', index),
+          address: createAddress('decode', index),
         })),
       });
 
   const picker: PlainUpstreamPicker = {
     pick(_service, excludeIds): PickedUpstream | undefined {
-      const usable = plain
+      const usable = plainServices
         .map((service, index) => ({
           upstreamId: service.options.serviceId,
-          address: addressOf('ledger', index),
+          address: createAddress('ledger', index),
         }))
         .filter(
           ({upstreamId}) =>
             !excludeIds.includes(upstreamId) &&
-            !leavingIds.has(upstreamId) &&
+            !leavingServiceIds.has(upstreamId) &&
             (downUntilMs.get(upstreamId) ?? 0) <= clock.nowMs(),
         );
-      return usable[turn++ % Math.max(1, usable.length)];
+      return usable[nextPickIndex++ % Math.max(1, usable.length)];
     },
     started() {},
     ended(upstreamId, result) {
-      if (result === 'leaving') leavingIds.add(upstreamId);
+      if (result === 'leaving') leavingServiceIds.add(upstreamId);
       if (result === 'unreachable') {
-        downUntilMs.set(upstreamId, clock.nowMs() + DOWN_MS);
+        downUntilMs.set(upstreamId, clock.nowMs() + UNREACHABLE_MS);
       }
     },
   };
 
-  /** What the others believe of an entry: late, and wrong about pauses. */
+  /**
+   * Whether other processes consider an entry alive. They detect a death only
+   * after a delay and take a long pause for a death.
+   */
   function isEntryAlive(tag: string): boolean {
-    const sinceMs = deadSinceMs.get(tag);
-    return sinceMs === undefined || clock.nowMs() - sinceMs < DETECT_MS;
+    const sinceMs = unresponsiveSinceMs.get(tag);
+    return (
+      sinceMs === undefined || clock.nowMs() - sinceMs < DETECTION_DELAY_MS
+    );
   }
 
-  function after(delayMs: number, action: () => void): void {
+  function runAfter(delayMs: number, action: () => void): void {
     clock.setTimer(delayMs, action);
   }
 
-  /** A call to another process, which may be paused or dead. */
-  function ask<T>(
+  /** Calls an entry, which may be paused, dead or isolated. */
+  function callEntry<T>(
     target: SiteEntry | undefined,
     timeoutMs: number,
     action: (target: SiteEntry) => Promise<T>,
-    failed: (reason: 'unreachable' | 'timeout') => T,
+    createFailure: (reason: 'unreachable' | 'timeout') => T,
   ): Promise<T> {
     return new Promise(resolve => {
-      after(timeoutMs + 2 * ONE_WAY_MS, () => resolve(failed('timeout')));
-      after(ONE_WAY_MS, () => {
-        if (!target?.shell.isAlive()) {
-          resolve(failed('unreachable'));
+      runAfter(timeoutMs + 2 * ONE_WAY_LATENCY_MS, () =>
+        resolve(createFailure('timeout')),
+      );
+      runAfter(ONE_WAY_LATENCY_MS, () => {
+        if (!target?.simulatedProcess.isAlive()) {
+          resolve(createFailure('unreachable'));
           return;
         }
-        if (cutOff.has(target.index)) return;
-        target.shell.inside(
+        if (isolatedEntries.has(target.index)) return;
+        target.simulatedProcess.run(
           () =>
             void action(target).then(value =>
-              after(ONE_WAY_MS, () => resolve(value)),
+              runAfter(ONE_WAY_LATENCY_MS, () => resolve(value)),
             ),
         );
       });
     });
   }
 
-  function partitionOf(key: AnswerKey): number {
+  function computePartition(key: AnswerKey): number {
     let sum = 0;
     for (const char of key.idempotencyKey) sum += char.charCodeAt(0);
     return sum % PARTITION_COUNT;
   }
 
-  function ownerOf(key: AnswerKey): SiteEntry | undefined {
-    const holder = leases.holder(partitionOf(key));
+  function findOwner(key: AnswerKey): SiteEntry | undefined {
+    const holder = leases.holder(computePartition(key));
     return entries.find(entry => entry.tag === holder);
   }
 
-  /** Nobody, for a process that is cut off from the others. */
-  function reachable(
+  /** Returns undefined if `from` is isolated from `target`. */
+  function findReachable(
     from: SiteEntry,
     target: SiteEntry | undefined,
   ): SiteEntry | undefined {
-    return cutOff.has(from.index) && target !== from ? undefined : target;
+    return isolatedEntries.has(from.index) && target !== from
+      ? undefined
+      : target;
   }
 
   const journalFor = (from: SiteEntry): JournalPort => ({
     begin: request =>
-      ask<IntentOutcome>(
-        reachable(from, ownerOf(request)),
+      callEntry<IntentOutcome>(
+        findReachable(from, findOwner(request)),
         request.timeoutMs,
-        owner => owner.journalOwner(partitionOf(request)).begin(request),
+        owner => owner.journalOwner(computePartition(request)).begin(request),
         reason => ({
           kind: 'refused',
           reason: reason === 'unreachable' ? 'not-owner' : 'platform',
@@ -242,23 +253,24 @@
         }),
       ),
     end: (request, end) =>
-      ask<boolean>(
-        reachable(from, ownerOf(request)),
+      callEntry<boolean>(
+        findReachable(from, findOwner(request)),
         request.timeoutMs,
-        owner => owner.journalOwner(partitionOf(request)).end(request, end),
+        owner =>
+          owner.journalOwner(computePartition(request)).end(request, end),
         () => false,
       ),
   });
 
-  const places = new Map<string, {tag: string; place: AnswerPlace}>();
+  const answerPlaces = new Map<string, {tag: string; place: AnswerPlace}>();
   const index: AnswerIndexPort = {
     find(key, timeoutMs) {
-      const owner = ownerOf(key);
-      return ask<AnswerPlace>(
+      const owner = findOwner(key);
+      return callEntry<AnswerPlace>(
         owner,
         timeoutMs,
         () => {
-          const known = places.get(key.idempotencyKey);
+          const known = answerPlaces.get(key.idempotencyKey);
           const isKnown = known?.tag === owner?.tag;
           return Promise.resolve(isKnown ? known!.place : {kind: 'unsure'});
         },
@@ -266,19 +278,19 @@
       );
     },
     announce(key, place) {
-      const owner = ownerOf(key);
+      const owner = findOwner(key);
       if (!owner) return;
-      after(ONE_WAY_MS, () =>
-        places.set(key.idempotencyKey, {tag: owner.tag, place}),
+      runAfter(ONE_WAY_LATENCY_MS, () =>
+        answerPlaces.set(key.idempotencyKey, {tag: owner.tag, place}),
       );
     },
   };
   const peers: AnswerPeerPort = {
     read: (address, key, fromOffset, waitMs) =>
-      ask(
+      callEntry(
         entries.find(entry => entry.address === address),
         waitMs + 100,
-        target => target.kept.serveRead(key, fromOffset, waitMs),
+        target => target.keptAnswerStore.serveRead(key, fromOffset, waitMs),
         () => ({kind: 'failed'}),
       ),
   };
@@ -286,7 +298,7 @@
   function startEntry(position: number): SiteEntry {
     return createSiteEntry(
       {
-        world: clock,
+        siteClock: clock,
         mutant,
         table: platform.table,
         objects: platform.objects,
@@ -297,16 +309,18 @@
         plainPort: address => services.get(address)!,
         picker,
         journalFor,
-        spread(from, fact) {
-          after(GOSSIP_MS, () => {
+        broadcastLoss(from, fact) {
+          runAfter(BROADCAST_DELAY_MS, () => {
             for (const other of entries) {
               if (other === from) continue;
-              other.shell.inside(() => other.quarantine.mergeFact(fact));
+              other.simulatedProcess.run(() =>
+                other.quarantine.mergeFact(fact),
+              );
             }
           });
         },
         isEntryAlive,
-        onNote: note => notes.push(`${clock.nowMs()} ${note}`),
+        onWarning: note => warnings.push(`${clock.nowMs()} ${note}`),
       },
       position,
       incarnations[position],
@@ -331,8 +345,8 @@
       addresses: () => [...engines.keys()],
       ownerState(owner) {
         if (!isEntryAlive(owner.entry)) return 'gone';
-        const entry = entries.find(known => known.tag === owner.entry);
-        if (!entry || entry.shell.isPaused()) return 'unknown';
+        const entry = entries.find(each => each.tag === owner.entry);
+        if (!entry || entry.simulatedProcess.isPaused()) return 'unknown';
         return entry.runner.isRunning(owner.requestId) ? 'running' : 'gone';
       },
     });
@@ -344,43 +358,52 @@
     platform,
     prefill,
     decode,
-    services: plain,
+    services: plainServices,
     home,
     leases,
     entries: () => entries,
     killEntry(position) {
       const entry = entries[position];
-      if (!entry.shell.isAlive()) return;
-      entry.shell.kill();
-      deadSinceMs.set(entry.tag, clock.nowMs());
-      after(DETECT_MS, () => home.entryGone(entry.tag));
-      after(RESTART_MS, () => {
+      if (!entry.simulatedProcess.isAlive()) return;
+      entry.simulatedProcess.kill();
+      unresponsiveSinceMs.set(entry.tag, clock.nowMs());
+      runAfter(DETECTION_DELAY_MS, () => home.releaseEntry(entry.tag));
+      runAfter(RESTART_DELAY_MS, () => {
         incarnations[position]++;
         entries[position] = startEntry(position);
       });
     },
     pauseEntry(position, durationMs) {
       const entry = entries[position];
-      if (!entry.shell.isAlive() || entry.shell.isPaused()) return;
-      entry.shell.pause();
-      deadSinceMs.set(entry.tag, clock.nowMs());
-      after(durationMs, () => {
-        if (entry.shell.isAlive()) deadSinceMs.delete(entry.tag);
-        entry.shell.resume();
+      if (
+        !entry.simulatedProcess.isAlive() ||
+        entry.simulatedProcess.isPaused()
+      )
+        return;
+      entry.simulatedProcess.pause();
+      unresponsiveSinceMs.set(entry.tag, clock.nowMs());
+      runAfter(durationMs, () => {
+        if (entry.simulatedProcess.isAlive())
+          unresponsiveSinceMs.delete(entry.tag);
+        entry.simulatedProcess.resume();
       });
     },
-    cutOff(position, durationMs) {
-      cutOff.add(position);
-      after(durationMs, () => cutOff.delete(position));
+    isolateEntry(position, durationMs) {
+      isolatedEntries.add(position);
+      runAfter(durationMs, () => isolatedEntries.delete(position));
     },
-    leaveEngine(engine) {
+    markEngineLeaving(engine) {
       engine.setLeaving(true);
-      after(DETECT_MS, () => home.markLeaving(engine.options.engineId));
+      runAfter(DETECTION_DELAY_MS, () =>
+        home.markLeaving(engine.options.engineId),
+      );
     },
-    leaveService(service) {
+    markServiceLeaving(service) {
       service.setLeaving(true);
-      after(DETECT_MS, () => leavingIds.add(service.options.serviceId));
+      runAfter(DETECTION_DELAY_MS, () =>
+        leavingServiceIds.add(service.options.serviceId),
+      );
     },
-    notes: () => notes,
+    warnings: () => warnings,
   };
 }
--- a/bench/support/site_callers.ts
+++ b/bench/support/site_callers.ts
@@ -1,4 +1,4 @@
-/** Callers of the fault harness: what they send, and what came back to them. */
+/** Callers of the fault harness. They send calls and record the outcomes. */
 
 import type {RequestError} from '../../src/core/error_kinds.js';
 import {errorAnswers} from '../../src/core/error_kinds.js';
@@ -15,9 +15,9 @@
 export type CallKind = 'model' | 'patient' | 'plain' | 'single';
 
 export interface CallSpec {
-  /** Names the work: calls with one id have the same body. */
+  /** Identifies the content: calls with the same id have the same body. */
   readonly id: string;
-  /** Names the caller; part of each request id. */
+  /** Identifies the caller; each request id begins with it. */
   readonly sender: string;
   readonly kind: CallKind;
   /** Sent as Idempotency-Key. */
@@ -25,12 +25,12 @@
   readonly isPoison: boolean;
   readonly entryIndex: number;
   readonly atMs: number;
-  /** The caller hangs up this long after sending. */
+  /** Time from the first attempt until the caller hangs up. */
   readonly hangUpAfterMs?: number;
   readonly waitMs: number;
-  /** Times it is sent, the first one included. */
+  /** Maximum number of attempts, including the first. */
   readonly maxSends: number;
-  /** Sent once more, when all is healed, with the same key. */
+  /** Whether this repeats an earlier call after all faults are over. */
   readonly isRepeat?: boolean;
 }
 
@@ -43,41 +43,41 @@
   | {readonly kind: 'answered'; readonly answer: StoredAnswer}
   | {readonly kind: 'failed'; readonly error: RequestError};
 
-/** One sending of one call to one entry. */
+/** One attempt of a call at one entry. */
 export interface SendRecord {
   readonly spec: CallSpec;
   readonly requestId: string;
   readonly entry: SiteEntry;
   readonly texts: string[];
   readonly outcomes: SendOutcome[];
-  /** Faults seen by the caller's own connection. */
+  /** Protocol violations that the caller observed. */
   readonly violations: string[];
   hasHungUp: boolean;
-  /** The connection broke before an answer came. */
-  wasLost: boolean;
+  /** Whether the connection broke before the answer arrived. */
+  isConnectionLost: boolean;
   endedAtMs: number | undefined;
   arrivedAtMs: number | undefined;
 }
 
 export interface SiteCallers {
   schedule(spec: CallSpec): void;
-  /** The named senders hang up now, if they still wait. */
+  /** Ends the connections of the named senders that still wait. */
   hangUp(...senders: readonly string[]): void;
   records(): readonly SendRecord[];
 }
 
-const LOOK_MS = 100;
-const RETRY_MS = 200;
-/** How much longer than its wait a caller listens before it asks again. */
-const PATIENCE_MS = 2_500;
+const CHECK_INTERVAL_MS = 100;
+const RETRY_DELAY_MS = 200;
+/** Time beyond `waitMs` after which a caller without an answer retries. */
+const CALLER_TIMEOUT_MARGIN_MS = 2_500;
 
-export function promptOf(spec: CallSpec): readonly number[] {
+export function createPrompt(spec: CallSpec): readonly number[] {
   const seed = [...spec.id].reduce((sum, c) => sum * 31 + c.charCodeAt(0), 7);
   const tokens = Array.from({length: 20}, (_, i) => 1_000 + ((seed + i) % 977));
   return spec.isPoison ? [...tokens, POISON_TOKEN] : tokens;
 }
 
-export function bodyOf(spec: CallSpec): string {
+export function createBody(spec: CallSpec): string {
   return spec.isPoison ? `${spec.id} ${POISON_TEXT}` : spec.id;
 }
 
@@ -92,7 +92,7 @@
   function pickEntry(first: number): SiteEntry | undefined {
     for (let step = 0; step < ENTRY_COUNT; step++) {
       const entry = site.entries()[(first + step) % ENTRY_COUNT];
-      if (entry.shell.isAlive() && !entry.isDraining) return entry;
+      if (entry.simulatedProcess.isAlive() && !entry.isDraining) return entry;
     }
     return undefined;
   }
@@ -100,7 +100,7 @@
   function send(spec: CallSpec, sends: number, entryIndex: number): void {
     const entry = pickEntry(entryIndex);
     if (!entry) {
-      clock.setTimer(RETRY_MS, () => send(spec, sends, entryIndex));
+      clock.setTimer(RETRY_DELAY_MS, () => send(spec, sends, entryIndex));
       return;
     }
     const record: SendRecord = {
@@ -111,7 +111,7 @@
       outcomes: [],
       violations: [],
       hasHungUp: false,
-      wasLost: false,
+      isConnectionLost: false,
       endedAtMs: undefined,
       arrivedAtMs: undefined,
     };
@@ -121,43 +121,47 @@
       clock.setTimer(delayMs, () => send(spec, sends + 1, entry.index + 1));
     };
     let running: RunningRequest | undefined;
-    entry.shell.inside(() => {
+    entry.simulatedProcess.run(() => {
       running = run(record, outcome => {
         const isRetried =
           outcome.kind === 'failed' &&
           errorAnswers[outcome.error.kind].retryable;
-        if (isRetried) again(outcome.error.retryAfterMs ?? RETRY_MS);
+        if (isRetried) again(outcome.error.retryAfterMs ?? RETRY_DELAY_MS);
       });
     });
     const hangUp = () => {
       if (record.outcomes.length > 0 || record.hasHungUp) return;
       record.hasHungUp = true;
-      entry.shell.inside(() => running?.callerGone());
-      again(LOOK_MS);
+      entry.simulatedProcess.run(() => running?.callerGone());
+      again(CHECK_INTERVAL_MS);
     };
     hangUps.set(spec.sender, hangUp);
     if (spec.hangUpAfterMs !== undefined && sends === 1) {
       clock.setTimer(spec.hangUpAfterMs, hangUp);
     }
-    watch(record, again);
+    watchConnection(record, again);
   }
 
-  /** Notices that the connection broke, or that nothing ever comes. */
-  function watch(record: SendRecord, again: (delayMs: number) => void): void {
+  /** Retries if the entry dies or no answer arrives in time. */
+  function watchConnection(
+    record: SendRecord,
+    again: (delayMs: number) => void,
+  ): void {
     const {spec, entry} = record;
-    const untilMs = clock.nowMs() + spec.waitMs + PATIENCE_MS;
-    const look = () => {
+    const untilMs = clock.nowMs() + spec.waitMs + CALLER_TIMEOUT_MARGIN_MS;
+    const checkConnection = () => {
       if (record.outcomes.length > 0 || record.hasHungUp) return;
-      const isLost = !entry.shell.isAlive() || clock.nowMs() > untilMs;
+      const isLost =
+        !entry.simulatedProcess.isAlive() || clock.nowMs() > untilMs;
       if (!isLost) {
-        clock.setTimer(LOOK_MS, look);
+        clock.setTimer(CHECK_INTERVAL_MS, checkConnection);
         return;
       }
-      record.wasLost = !entry.shell.isAlive();
+      record.isConnectionLost = !entry.simulatedProcess.isAlive();
       record.hasHungUp = true;
       again(0);
     };
-    clock.setTimer(LOOK_MS, look);
+    clock.setTimer(CHECK_INTERVAL_MS, checkConnection);
   }
 
   function run(
@@ -167,7 +171,7 @@
     const {spec, requestId, entry} = record;
     const nowMs = clock.nowMs();
     record.arrivedAtMs = nowMs;
-    const note = (outcome: SendOutcome) => {
+    const recordOutcome = (outcome: SendOutcome) => {
       record.outcomes.push(outcome);
       record.endedAtMs = clock.nowMs();
       onEnded(requestId);
@@ -181,7 +185,7 @@
       requestId,
       account: 'a1',
       idempotencyKey: spec.key,
-      fingerprint: `${spec.kind} ${bodyOf(spec)}`,
+      fingerprint: `${spec.kind} ${createBody(spec)}`,
       arrivedAtMs: nowMs,
       deadlineAtMs: nowMs + spec.waitMs,
     };
@@ -192,7 +196,7 @@
           service: 'drafts',
           requestClass: spec.kind === 'patient' ? 'patient' : 'interactive',
           model: 'default',
-          promptTokens: promptOf(spec),
+          promptTokens: createPrompt(spec),
           maxTokens: 1_000,
         },
         {
@@ -206,8 +210,8 @@
             record.texts.push(...texts);
           },
           end: (_reason, tokenCount) =>
-            note({kind: 'whole', texts: record.texts, tokenCount}),
-          fail: error => note({kind: 'failed', error}),
+            recordOutcome({kind: 'whole', texts: record.texts, tokenCount}),
+          fail: error => recordOutcome({kind: 'failed', error}),
         },
       );
     }
@@ -218,12 +222,12 @@
         method: spec.kind === 'single' ? 'POST' : 'GET',
         path: `/${spec.id}`,
         headers: spec.key ? {'idempotency-key': spec.key} : {},
-        body: Buffer.from(bodyOf(spec)),
+        body: Buffer.from(createBody(spec)),
         repeatable: spec.kind === 'plain',
       },
       {
-        end: answer => note({kind: 'answered', answer}),
-        fail: error => note({kind: 'failed', error}),
+        end: answer => recordOutcome({kind: 'answered', answer}),
+        fail: error => recordOutcome({kind: 'failed', error}),
       },
     );
   }
--- a/bench/support/site_entry.ts
+++ b/bench/support/site_entry.ts
@@ -1,4 +1,4 @@
-/** One entry process of the fault harness, with the real request modules. */
+/** One entry process of the fault harness, with the production modules. */
 
 import {createSeededRandom} from '../../src/core/seeded_random.js';
 import type {Clock} from '../../src/ports/clock.js';
@@ -41,9 +41,12 @@
   type QueryableRequestRunner,
 } from '../../src/request/request_runner.js';
 import {createRetryBudget} from '../../src/request/retry_budget.js';
-import {createProcessShell, type ProcessShell} from './process_shell.js';
+import {
+  createSimulatedProcess,
+  type SimulatedProcess,
+} from './simulated_process.js';
 
-/** What a deliberate defect changes; the empty one changes nothing. */
+/** A deliberate defect. Without optional members it changes nothing. */
 export interface Mutant {
   readonly name: string;
   readonly machines?: Partial<RequestMachines>;
@@ -52,16 +55,16 @@
   wrapEngines?(engines: EnginePortFactory): EnginePortFactory;
   wrapQuarantine?(quarantine: Quarantine): Quarantine;
   wrapGrants?(grants: GrantPort): GrantPort;
-  /** Turns the sweep off, which would hide a forgotten release. */
+  /** Disables the sweep, which would hide a missing release. */
   readonly hasNoSweep?: boolean;
-  /** The real shard home in place of the small one. */
+  /** Uses the production shard home instead of the small one. */
   readonly hasRealHome?: boolean;
-  /** Only schedules in which no entry dies or pauses. */
+  /** Limits the defect to schedules without faults of entries. */
   readonly needsLivingEntries?: boolean;
 }
 
 export interface SiteEntryHost {
-  readonly world: Clock;
+  readonly siteClock: Clock;
   readonly mutant: Mutant;
   readonly table: TablePort;
   readonly objects: ObjectStorePort;
@@ -72,28 +75,28 @@
   plainPort(address: string): PlainServicePort;
   readonly picker: PlainUpstreamPicker;
   journalFor(entry: SiteEntry): JournalPort;
-  spread(from: SiteEntry, fact: LossFact): void;
+  broadcastLoss(from: SiteEntry, fact: LossFact): void;
   isEntryAlive(tag: string): boolean;
-  onNote(note: string): void;
+  onWarning(note: string): void;
 }
 
 export interface SiteEntry {
   readonly index: number;
   readonly tag: string;
   readonly address: string;
-  readonly shell: ProcessShell;
+  readonly simulatedProcess: SimulatedProcess;
   readonly runner: QueryableRequestRunner;
-  readonly kept: KeptAnswers;
+  readonly keptAnswerStore: KeptAnswers;
   readonly quarantine: Quarantine;
-  /** Leases that the process believes in. */
+  /** Fences of the leases that the process assumes to hold. */
   readonly fences: Map<number, PartitionFence>;
   journalOwner(partition: number): JournalOwner;
   isDraining: boolean;
-  /** It ended by itself after a drain. */
+  /** Whether the process ended by itself after a drain. */
   hasDrained: boolean;
 }
 
-const KEEP_MS = 60_000;
+const RETENTION_MS = 60_000;
 
 const runnerOptions: RequestRunnerOptions = {
   ...defaultRequestRunnerOptions,
@@ -115,7 +118,7 @@
   peerReadWaitMs: 200,
 };
 
-function noteLogger(onNote: (note: string) => void): Logger {
+function createWarningLogger(onNote: (note: string) => void): Logger {
   const write = (sentence: string) => onNote(sentence);
   return {error: write, warn: write, info() {}, debug() {}};
 }
@@ -126,25 +129,27 @@
   incarnation: number,
 ): SiteEntry {
   const {mutant} = host;
-  const shell = createProcessShell(host.world);
+  const simulatedProcess = createSimulatedProcess(host.siteClock);
   const random = createSeededRandom(1 + index * 1_000 + incarnation);
   const tag = `entry${index}#${incarnation}`;
   const address = `10.9.0.${index}:${incarnation}`;
-  const log = noteLogger(note => host.onNote(`${tag}: ${note}`));
-  const table = shell.port(mutant.wrapTable?.(host.table) ?? host.table);
-  const objects = shell.port(host.objects);
+  const log = createWarningLogger(note => host.onWarning(`${tag}: ${note}`));
+  const table = simulatedProcess.wrapPort(
+    mutant.wrapTable?.(host.table) ?? host.table,
+  );
+  const objects = simulatedProcess.wrapPort(host.objects);
   const fences = new Map<number, PartitionFence>();
   const owners = new Map<number, JournalOwner>();
 
   const enginePorts = new Map<string, EnginePort>();
   const enginePort: EnginePortFactory = target => {
-    const known = enginePorts.get(target) ?? connect(target);
+    const known = enginePorts.get(target) ?? createEnginePort(target);
     enginePorts.set(target, known);
     return known;
   };
-  function connect(target: string): EnginePort {
+  function createEnginePort(target: string): EnginePort {
     const engine = host.enginePort(target);
-    const port = shell.port(engine);
+    const port = simulatedProcess.wrapPort(engine);
     return {
       ...port,
       prefill: call => port.prefill(call),
@@ -152,22 +157,22 @@
       cancel: (owner, timeoutMs) => port.cancel(owner, timeoutMs),
       probe: timeoutMs => port.probe(timeoutMs),
       decode: (call, sink) =>
-        port.decode(call, event => shell.inside(() => sink(event))),
+        port.decode(call, event => simulatedProcess.run(() => sink(event))),
     };
   }
   const plainPort: PlainServicePortFactory = target =>
-    shell.port(host.plainPort(target));
+    simulatedProcess.wrapPort(host.plainPort(target));
   const quarantine = createQuarantine({
-    clock: shell.clock,
-    broadcast: fact => host.spread(entry, fact),
+    clock: simulatedProcess.clock,
+    broadcast: fact => host.broadcastLoss(entry, fact),
   });
-  const kept = createKeptAnswers(
+  const keptAnswerStore = createKeptAnswers(
     {
-      clock: shell.clock,
+      clock: simulatedProcess.clock,
       log,
       objectStore: objects,
-      index: shell.port(host.index),
-      peers: shell.port(host.peers),
+      index: simulatedProcess.wrapPort(host.index),
+      peers: simulatedProcess.wrapPort(host.peers),
       peerAddress: address,
     },
     {
@@ -176,7 +181,7 @@
       storeTimeoutMs: 300,
       announceIntervalMs: 1_000,
       storeRetryMs: 500,
-      retentionMs: () => KEEP_MS,
+      retentionMs: () => RETENTION_MS,
     },
   );
 
@@ -185,7 +190,7 @@
     if (known) return known;
     const owner = createJournalOwner(
       {
-        clock: shell.clock,
+        clock: simulatedProcess.clock,
         random,
         log,
         table,
@@ -201,7 +206,7 @@
         readTimeoutMs: 150,
         writeTimeoutMs: 150,
         maxInlineBytes: 100,
-        retentionMs: () => KEEP_MS,
+        retentionMs: () => RETENTION_MS,
       },
     );
     owners.set(partition, owner);
@@ -212,8 +217,8 @@
     index,
     tag,
     address,
-    shell,
-    kept,
+    simulatedProcess,
+    keptAnswerStore,
     quarantine,
     fences,
     journalOwner,
@@ -223,12 +228,14 @@
       return runner;
     },
   };
-  const journal = shell.port(host.journalFor(entry));
-  const grants = shell.port(mutant.wrapGrants?.(host.grants) ?? host.grants);
+  const journal = simulatedProcess.wrapPort(host.journalFor(entry));
+  const grants = simulatedProcess.wrapPort(
+    mutant.wrapGrants?.(host.grants) ?? host.grants,
+  );
   const runner = createRequestRunner(
     {
       machines: mutant.machines,
-      clock: shell.clock,
+      clock: simulatedProcess.clock,
       random,
       log,
       entry: tag,
@@ -238,7 +245,7 @@
       journal: mutant.wrapJournal?.(journal) ?? journal,
       plainBalancer: host.picker,
       quarantine: mutant.wrapQuarantine?.(quarantine) ?? quarantine,
-      keptAnswers: kept,
+      keptAnswers: keptAnswerStore,
       retryBudget: createRetryBudget({burst: () => 20, ratioOf: () => 0.2}),
     },
     runnerOptions,
--- a/bench/support/site_faults.ts
+++ b/bench/support/site_faults.ts
@@ -1,19 +1,19 @@
-/** The faults of the brief, as the fault harness brings them about. */
+/** The faults that the fault harness can inject. */
 
 import type {RequestSite} from './request_site.js';
 
-/** A fault that can be laid on the site at any moment. */
+/** A fault to inject at a given time. */
 export interface FaultEvent {
   readonly kind: FaultKind;
   readonly atMs: number;
   readonly durationMs: number;
-  /** Which of several processes or upstreams it strikes. */
+  /** Index of the affected process or upstream, modulo their number. */
   readonly target: number;
 }
 
-type Inject = (site: RequestSite, fault: FaultEvent) => void;
+type FaultInjector = (site: RequestSite, fault: FaultEvent) => void;
 
-function forAWhile(
+function applyForDuration(
   site: RequestSite,
   fault: FaultEvent,
   start: () => void,
@@ -27,27 +27,27 @@
   return items[target % items.length];
 }
 
-/** SIGTERM: no new requests; the process ends when the last one has. */
+/** Drains an entry: it gets no new requests and ends after its last one. */
 function drain(site: RequestSite, index: number): void {
   const entry = site.entries()[index];
-  if (!entry.shell.isAlive()) return;
+  if (!entry.simulatedProcess.isAlive()) return;
   entry.isDraining = true;
-  const look = () => {
-    if (!entry.shell.isAlive()) return;
+  const checkDrained = () => {
+    if (!entry.simulatedProcess.isAlive()) return;
     if (entry.runner.activeCount() === 0) {
       entry.hasDrained = true;
       site.killEntry(index);
-    } else site.clock.setTimer(50, look);
+    } else site.clock.setTimer(50, checkDrained);
   };
-  look();
+  checkDrained();
 }
 
-const kinds = {
+const injectors = {
   'entry dies': (site, {target}) => site.killEntry(target % 3),
   'entry paused': (site, {target, durationMs}) =>
     site.pauseEntry(target % 3, durationMs),
   'entry cut off from its peers': (site, {target, durationMs}) =>
-    site.cutOff(target % 3, durationMs),
+    site.isolateEntry(target % 3, durationMs),
   'entry drains': (site, {target}) => drain(site, target % 3),
   'partition owner paused past its lease'(site, {target, durationMs}) {
     const holder = site.leases.holder(target % 2);
@@ -58,11 +58,11 @@
   'decode engine dies': (site, {target}) => pick(site.decode, target).crash(),
   'prefill engine freezes'(site, fault) {
     const {gate} = pick(site.prefill, fault.target);
-    forAWhile(site, fault, gate.freeze, gate.thaw);
+    applyForDuration(site, fault, gate.freeze, gate.thaw);
   },
   'decode engine freezes'(site, fault) {
     const {gate} = pick(site.decode, fault.target);
-    forAWhile(site, fault, gate.freeze, gate.thaw);
+    applyForDuration(site, fault, gate.freeze, gate.thaw);
   },
   'prefill connections go silent': (site, {target}) =>
     pick(site.prefill, target).gate.silence(2),
@@ -70,7 +70,7 @@
     pick(site.decode, target).gate.silence(2),
   'transfers stall'(site, fault) {
     const engine = pick(site.prefill, fault.target);
-    forAWhile(
+    applyForDuration(
       site,
       fault,
       () => engine.setFaults({stallTransfers: true}),
@@ -79,7 +79,7 @@
   },
   'answers come late and cross'(site, fault) {
     const engines = [...site.prefill, ...site.decode];
-    forAWhile(
+    applyForDuration(
       site,
       fault,
       () =>
@@ -95,13 +95,13 @@
   'service dies': (site, {target}) => pick(site.services, target).crash(),
   'service freezes'(site, fault) {
     const {gate} = pick(site.services, fault.target);
-    forAWhile(site, fault, gate.freeze, gate.thaw);
+    applyForDuration(site, fault, gate.freeze, gate.thaw);
   },
   'service connections go silent': (site, {target}) =>
     pick(site.services, target).gate.silence(2),
   'service answers are lost'(site, fault) {
     const service = pick(site.services, fault.target);
-    forAWhile(
+    applyForDuration(
       site,
       fault,
       () => service.setFaults({answerLostShare: 0.5}),
@@ -109,7 +109,7 @@
     );
   },
   'platform down'(site, fault) {
-    forAWhile(
+    applyForDuration(
       site,
       fault,
       () => site.platform.setFaults({isDown: true}),
@@ -117,7 +117,7 @@
     );
   },
   'platform slow'(site, fault) {
-    forAWhile(
+    applyForDuration(
       site,
       fault,
       () => site.platform.setFaults({slowMs: 100 + 50 * fault.target}),
@@ -125,7 +125,7 @@
     );
   },
   'platform answers are lost after the write'(site, fault) {
-    forAWhile(
+    applyForDuration(
       site,
       fault,
       () => site.platform.setFaults({answerLostShare: 0.4, readLostShare: 0.1}),
@@ -133,7 +133,7 @@
     );
   },
   'platform writes take effect late'(site, fault) {
-    forAWhile(
+    applyForDuration(
       site,
       fault,
       () => site.platform.setFaults({lateShare: 0.4, lateMs: 700}),
@@ -142,19 +142,19 @@
   },
   'platform dies with writes on the way'(site, fault) {
     const {platform} = site;
-    forAWhile(site, fault, platform.crash, platform.restart);
+    applyForDuration(site, fault, platform.crash, platform.restart);
   },
-  'prefill engine leaves': site => site.leaveEngine(site.prefill[0]),
-  'decode engine leaves': site => site.leaveEngine(site.decode[0]),
-  'service leaves': site => site.leaveService(site.services[0]),
-  'home moves': site => site.home.moveHome(),
-} as const satisfies Readonly<Record<string, Inject>>;
+  'prefill engine leaves': site => site.markEngineLeaving(site.prefill[0]),
+  'decode engine leaves': site => site.markEngineLeaving(site.decode[0]),
+  'service leaves': site => site.markServiceLeaving(site.services[0]),
+  'home moves': site => site.home.restartHome(),
+} as const satisfies Readonly<Record<string, FaultInjector>>;
 
-export type FaultKind = keyof typeof kinds;
+export type FaultKind = keyof typeof injectors;
 
-export const faultKinds = Object.keys(kinds) as readonly FaultKind[];
+export const faultKinds = Object.keys(injectors) as readonly FaultKind[];
 
-/** Faults of the platform and deaths, which are also tried in pairs. */
+/** Faults that are also injected second: platform faults, deaths, lost leases. */
 export const pairedKinds: readonly FaultKind[] = faultKinds.filter(
   kind =>
     kind.startsWith('platform') ||
@@ -162,14 +162,14 @@
     kind.endsWith('its lease'),
 );
 
-/** Whether a schedule strikes the entries themselves. */
+/** Whether a fault affects entry processes. */
 export function hasEntryFault(faults: readonly FaultEvent[]): boolean {
   return faults.some(
     ({kind}) => kind.startsWith('entry') || kind.startsWith('partition'),
   );
 }
 
-/** Whether messages to engines may be late or lost. */
+/** Whether a fault delays or loses messages to engines. */
 export function hasEngineLinkFault(faults: readonly FaultEvent[]): boolean {
   return faults.some(
     ({kind}) =>
@@ -180,6 +180,6 @@
 }
 
 export function injectFault(site: RequestSite, fault: FaultEvent): void {
-  const inject: Inject = kinds[fault.kind];
+  const inject: FaultInjector = injectors[fault.kind];
   inject(site, fault);
 }
--- a/bench/support/site_leases.ts
+++ b/bench/support/site_leases.ts
@@ -1,6 +1,6 @@
 /**
- * Leases of the journal's partitions in the fault harness. A holder that was
- * paused goes on believing in its lease for a while, as a real one does.
+ * Assigns the leases of the journal partitions in the fault harness. As in
+ * production, a holder may use a lost lease for a short time after a pause.
  */
 
 import type {Clock} from '../../src/ports/clock.js';
@@ -18,16 +18,16 @@
 }
 
 export interface SiteLeases {
-  /** Tag of the process that took the partition last. */
+  /** Tag of the process that last acquired the partition. */
   holder(partition: number): string | undefined;
   epoch(partition: number): number;
 }
 
-const ROUND_MS = 250;
+const ROUND_INTERVAL_MS = 250;
 const TIMEOUT_MS = 200;
-const ROUNDS_A_CHECK = 4;
-/** How long a paused holder believes in its lease after it wakes. */
-const STALE_BELIEF_MS = 300;
+const ROUNDS_PER_TABLE_CHECK = 4;
+/** Time until a previous holder drops its lost lease; if paused, on resume. */
+const STALE_LEASE_MS = 300;
 
 export function createSiteLeases(host: SiteLeasesHost): SiteLeases {
   const {clock} = host;
@@ -35,15 +35,20 @@
   const epochs = new Map<number, number>();
   let rounds = 0;
 
-  function note(partition: number, entry: SiteEntry, epoch: number): void {
-    const epochNow = () => epochs.get(partition);
-    const before = host
+  function recordHolder(
+    partition: number,
+    entry: SiteEntry,
+    epoch: number,
+  ): void {
+    const currentEpoch = () => epochs.get(partition);
+    const previousHolder = host
       .entries()
       .find(other => other.tag === holders.get(partition));
-    if (before && before !== entry) {
-      before.shell.clock.setTimer(STALE_BELIEF_MS, () => {
-        const isStale = before.fences.get(partition)?.epoch !== epochNow();
-        if (isStale) before.fences.delete(partition);
+    if (previousHolder && previousHolder !== entry) {
+      previousHolder.simulatedProcess.clock.setTimer(STALE_LEASE_MS, () => {
+        const isStale =
+          previousHolder.fences.get(partition)?.epoch !== currentEpoch();
+        if (isStale) previousHolder.fences.delete(partition);
       });
     }
     holders.set(partition, entry.tag);
@@ -59,14 +64,17 @@
     });
   }
 
-  async function take(partition: number, entry: SiteEntry): Promise<void> {
+  async function tryAcquire(
+    partition: number,
+    entry: SiteEntry,
+  ): Promise<void> {
     const key = `lease/${partition}`;
     const read = await host.table.read([key], TIMEOUT_MS);
     if (read.kind === 'failed') return;
     const row = read.value[0];
     const epoch = Number(row?.value['epoch'] ?? 0);
     if (row?.value['holder'] === entry.tag) {
-      note(partition, entry, epoch);
+      recordHolder(partition, entry, epoch);
       return;
     }
     const outcome = await host.table.transact(
@@ -83,18 +91,21 @@
       },
       TIMEOUT_MS,
     );
-    if (outcome.kind === 'applied') note(partition, entry, epoch + 1);
+    if (outcome.kind === 'applied') recordHolder(partition, entry, epoch + 1);
   }
 
-  /** A takeover whose answer was lost has moved the row all the same. */
+  /**
+   * Compares the epoch with the table. A takeover whose answer was lost may
+   * still have changed the row.
+   */
   async function isHeldInTable(partition: number): Promise<boolean> {
-    if (rounds % ROUNDS_A_CHECK !== 0) return true;
+    if (rounds % ROUNDS_PER_TABLE_CHECK !== 0) return true;
     const read = await host.table.read([`lease/${partition}`], TIMEOUT_MS);
     if (read.kind === 'failed') return true;
     return read.value[0]?.value['epoch'] === epochs.get(partition);
   }
 
-  async function round(): Promise<void> {
+  async function runRound(): Promise<void> {
     rounds++;
     for (let partition = 0; partition < host.partitionCount; partition++) {
       const holder = holders.get(partition);
@@ -105,14 +116,18 @@
       if (isHeld && (await isHeldInTable(partition))) continue;
       const usable = host
         .entries()
-        .filter(entry => entry.shell.isAlive() && !entry.shell.isPaused());
+        .filter(
+          entry =>
+            entry.simulatedProcess.isAlive() &&
+            !entry.simulatedProcess.isPaused(),
+        );
       const next = usable[partition % Math.max(1, usable.length)];
-      if (next) await take(partition, next);
+      if (next) await tryAcquire(partition, next);
     }
-    clock.setTimer(ROUND_MS, () => void round());
+    clock.setTimer(ROUND_INTERVAL_MS, () => void runRound());
   }
 
-  void round();
+  void runRound();
   return {
     holder: partition => holders.get(partition),
     epoch: partition => epochs.get(partition) ?? 0,
--- a/bench/support/site_observer.ts
+++ b/bench/support/site_observer.ts
@@ -1,15 +1,15 @@
 /**
- * Checks the promises of the product after a run of the fault harness. What
- * ran is taken from the stand-ins' own books, what was said from what the
- * callers got; nothing is asked of the router.
+ * Checks the guarantees of the product after a run of the fault harness. It
+ * reads only the records of the stand-ins and the answers to the callers, never
+ * the state of the router.
  */
 
 import {errorAnswers} from '../../src/core/error_kinds.js';
 import {expectAnswer} from '../../stand_ins/answer_text.js';
 import {ANSWER_TOKENS, type RequestSite} from './request_site.js';
-import {bodyOf, promptOf, type SendRecord} from './site_callers.js';
+import {createBody, createPrompt, type SendRecord} from './site_callers.js';
 
-/** The promises, in the order of the brief. */
+/** The guarantees of the product, in the order of its specification. */
 export const promises = [
   'nothing held by the gone',
   'answered once',
@@ -21,27 +21,27 @@
   'configuration in force',
 ] as const;
 
-export type Promised = (typeof promises)[number] | 'site recovers';
+export type PromiseName = (typeof promises)[number] | 'site recovers';
 
 export interface Violation {
-  readonly promise: Promised;
+  readonly promise: PromiseName;
   readonly what: string;
 }
 
-/** Memory of a request that has ended is free after this long. */
+/** Engines must release the memory of an ended request within this time. */
 const RELEASE_WITHIN_MS = 50;
-/** After this long, an upstream that is leaving may get no new work. */
+/** Time after which a leaving upstream must not get new work. */
 const LEAVING_GRACE_MS = 2_000;
-/** Slack on the final answer of a request. */
+/** Time beyond `waitMs` within which the final answer must arrive. */
 const ANSWER_SLACK_MS = 2_600;
 
-export interface ObservedFaults {
-  /** Ends may have gone unrecorded, or calls may have been sent in vain. */
+export interface ObservationContext {
+  /** Whether ends of calls may be unrecorded, or calls sent without a run. */
   readonly mayLeaveUnknown: boolean;
-  /** Held by requests that had ended, while no link was at fault. */
-  readonly heldAfterEnd: readonly string[];
-  /** No fault outlives this. */
-  readonly healedAtMs: number;
+  /** Memory of ended requests that engines held although no link was faulty. */
+  readonly unreleasedMemory: readonly string[];
+  /** Time by which all faults are over. */
+  readonly faultsEndAtMs: number;
 }
 
 function checkMemory(site: RequestSite): readonly Violation[] {
@@ -53,38 +53,40 @@
       ? []
       : [`${books.engineId} holds ${books.kvUsedBytes} B for ${owners}`];
   });
-  if (site.home.openGrants() > 0) held.push('grants stay open');
-  if (site.home.lapsedGrants() > 0) held.push('grants lapsed unreported');
+  if (site.home.openGrantCount() > 0) held.push('grants stay open');
+  if (site.home.expiredGrantCount() > 0) held.push('grants lapsed unreported');
   return held.map(what => ({promise: 'nothing held by the gone', what}));
 }
 
 function checkAnswer(record: SendRecord): readonly Violation[] {
   const {spec, requestId} = record;
   const outcome = record.outcomes[0];
-  const wrong = (what: string): readonly Violation[] => [
+  const createViolation = (what: string): readonly Violation[] => [
     {promise: 'whole and own answer', what: `${requestId}: ${what}`},
   ];
-  const expectedTexts = expectAnswer(promptOf(spec), ANSWER_TOKENS);
+  const expectedTexts = expectAnswer(createPrompt(spec), ANSWER_TOKENS);
   const isCrossed = record.texts.some(
     (text, offset) => text !== expectedTexts.textAt(offset),
   );
-  if (isCrossed) return wrong('a token is not of its own answer');
+  if (isCrossed) return createViolation('a token is not of its own answer');
   if (!outcome || outcome.kind === 'failed') return [];
   if (outcome.kind === 'whole') {
     const count = expectedTexts.naturalTokenCount;
     const isOwn =
       outcome.tokenCount === count && outcome.texts.length === count;
-    return isOwn ? [] : wrong(`got ${outcome.texts.length} of ${count} tokens`);
+    return isOwn
+      ? []
+      : createViolation(`got ${outcome.texts.length} of ${count} tokens`);
   }
   const body = Buffer.from(outcome.answer.body).toString('utf8');
   const isOwn =
-    body.includes(`"echo":"${bodyOf(spec)}"`) &&
+    body.includes(`"echo":"${createBody(spec)}"`) &&
     body.includes(`"key":${spec.key ? `"${spec.key}"` : 'null'}`);
-  return isOwn ? [] : wrong(`got ${body}`);
+  return isOwn ? [] : createViolation(`got ${body}`);
 }
 
-/** Ids of the requests that any upstream's books show as run. */
-function runIds(site: RequestSite): ReadonlySet<string> {
+/** Returns the ids of the requests that an upstream recorded as run. */
+function findRunIds(site: RequestSite): ReadonlySet<string> {
   const ids = new Set<string>();
   for (const engine of [...site.prefill, ...site.decode]) {
     for (const run of engine.books().runs) {
@@ -103,8 +105,9 @@
 ): readonly Violation[] {
   const outcome = record.outcomes[0];
   if (outcome?.kind !== 'failed' || record.hasHungUp) return [];
-  const isClaimed = errorAnswers[outcome.error.kind].runState === 'not-run';
-  if (!isClaimed || !ran.has(record.requestId)) return [];
+  const isReportedNotRun =
+    errorAnswers[outcome.error.kind].runState === 'not-run';
+  if (!isReportedNotRun || !ran.has(record.requestId)) return [];
   return [
     {
       promise: 'not run is true',
@@ -113,7 +116,7 @@
   ];
 }
 
-function checkOnce(
+function checkSingleRun(
   site: RequestSite,
   records: readonly SendRecord[],
 ): readonly Violation[] {
@@ -125,7 +128,7 @@
       runs.set(name, (runs.get(name) ?? 0) + 1);
     }
   }
-  const doubled = [...runs].filter(([, count]) => count > 1);
+  const repeatedRuns = [...runs].filter(([, count]) => count > 1);
   const bodies = new Map<string, string>();
   const differing = records.filter(({spec, outcomes}) => {
     const outcome = outcomes[0];
@@ -137,7 +140,7 @@
     return first !== body;
   });
   return [
-    ...doubled.map(([name, count]) => ({
+    ...repeatedRuns.map(([name, count]) => ({
       promise: 'at most once' as const,
       what: `${name} ran ${count} times`,
     })),
@@ -148,23 +151,23 @@
   ];
 }
 
-/** Each caller that stays on a living entry gets a final answer in time. */
-function checkFinal(record: SendRecord): readonly Violation[] {
-  const found: Violation[] = record.violations.map(what => ({
+/** A caller that stays connected to a live entry gets its answer in time. */
+function checkFinalAnswer(record: SendRecord): readonly Violation[] {
+  const violations: Violation[] = record.violations.map(what => ({
     promise: 'answered once',
     what: `${record.requestId}: ${what}`,
   }));
   const {entry, arrivedAtMs, endedAtMs, spec} = record;
-  if (record.hasHungUp || !entry.shell.isAlive()) return found;
-  if (arrivedAtMs === undefined) return found;
-  const tookMs = (endedAtMs ?? Infinity) - arrivedAtMs;
-  if (tookMs > spec.waitMs + ANSWER_SLACK_MS) {
-    found.push({
+  if (record.hasHungUp || !entry.simulatedProcess.isAlive()) return violations;
+  if (arrivedAtMs === undefined) return violations;
+  const durationMs = (endedAtMs ?? Infinity) - arrivedAtMs;
+  if (durationMs > spec.waitMs + ANSWER_SLACK_MS) {
+    violations.push({
       promise: 'answered once',
       what: `${record.requestId}: no final answer within its wait`,
     });
   }
-  return found;
+  return violations;
 }
 
 function checkLeaving(site: RequestSite): readonly Violation[] {
@@ -182,22 +185,22 @@
     }));
 }
 
-/** A process that ended by its drain has left nobody without an answer. */
+/** An entry that ended after a drain has answered all its callers. */
 function checkDrain(record: SendRecord): readonly Violation[] {
-  const isCut = record.entry.hasDrained && record.wasLost;
+  const isCut = record.entry.hasDrained && record.isConnectionLost;
   if (!isCut || record.arrivedAtMs === undefined) return [];
   return [
     {promise: 'shutdown cuts nothing', what: `${record.requestId} was cut`},
   ];
 }
 
-/** Calls sent after all faults have healed must succeed. */
+/** Calls sent after all faults are over must succeed. */
 function checkRecovery(
   records: readonly SendRecord[],
-  healedAtMs: number,
+  faultsEndAtMs: number,
 ): readonly Violation[] {
   return records
-    .filter(({spec}) => spec.atMs >= healedAtMs && !spec.isPoison)
+    .filter(({spec}) => spec.atMs >= faultsEndAtMs && !spec.isPoison)
     .filter(({outcomes}) => outcomes[0]?.kind === 'failed')
     .map(({requestId, outcomes}) => ({
       promise: 'site recovers',
@@ -206,8 +209,8 @@
 }
 
 /**
- * A repeat after all is healed gets the stored answer, or runs if nothing ever
- * ran: its key is not blocked.
+ * A repeat after all faults are over gets the recorded answer, or runs if no
+ * earlier call with the key ran.
  */
 function checkRepeats(
   ran: ReadonlySet<string>,
@@ -221,10 +224,11 @@
     const others = records.filter(
       other => other !== record && other.spec.key === spec.key,
     );
-    // The entry that has answered and lives on has also recorded the answer.
+    // An entry that answered and is still alive has also recorded the answer.
     const wasRecorded = others.some(
       other =>
-        other.outcomes[0]?.kind === 'answered' && other.entry.shell.isAlive(),
+        other.outcomes[0]?.kind === 'answered' &&
+        other.entry.simulatedProcess.isAlive(),
     );
     const hasEverRun = others.some(other => ran.has(other.requestId));
     if (!wasRecorded && (hasEverRun || mayLeaveUnknown)) return [];
@@ -233,7 +237,7 @@
   });
 }
 
-/** Calls back with what engines hold for a request just after its end. */
+/** Reports the engines that hold memory of a request after it has ended. */
 export function watchRelease(
   site: RequestSite,
   requestId: string,
@@ -252,22 +256,22 @@
 export function observeSite(
   site: RequestSite,
   records: readonly SendRecord[],
-  faults: ObservedFaults,
+  faults: ObservationContext,
 ): readonly Violation[] {
-  const ran = runIds(site);
+  const ran = findRunIds(site);
   return [
     ...checkMemory(site),
     ...records.flatMap(checkAnswer),
     ...records.flatMap(record => checkNotRun(ran, record)),
-    ...checkOnce(site, records),
-    ...records.flatMap(checkFinal),
+    ...checkSingleRun(site, records),
+    ...records.flatMap(checkFinalAnswer),
     ...records.flatMap(checkDrain),
     ...checkLeaving(site),
     ...checkRepeats(ran, records, faults.mayLeaveUnknown),
-    ...faults.heldAfterEnd.map(what => ({
+    ...faults.unreleasedMemory.map(what => ({
       promise: 'nothing held by the gone' as const,
       what,
     })),
-    ...checkRecovery(records, faults.healedAtMs),
+    ...checkRecovery(records, faults.faultsEndAtMs),
   ];
 }
--- a/bench/support/small_home.ts
+++ b/bench/support/small_home.ts
@@ -1,4 +1,7 @@
-/** A small shard home for the fault harness: exact books, first come. */
+/**
+ * A small shard home for the fault harness. It tracks every grant exactly and
+ * serves requests in order of arrival.
+ */
 
 import type {Clock} from '../../src/ports/clock.js';
 import type {EnginePortFactory} from '../../src/ports/engine.js';
@@ -24,134 +27,136 @@
 
 export interface SmallHome extends GrantPort {
   markLeaving(engineId: string): void;
-  entryGone(entry: string): void;
-  /** Loses all that it knows, as a new home after a death. */
-  moveHome(): void;
-  openGrants(): number;
-  /** Grants that lapsed because nobody reported their end. */
-  lapsedGrants(): number;
+  releaseEntry(entry: string): void;
+  /** Discards all state, as when a new home replaces one that died. */
+  restartHome(): void;
+  openGrantCount(): number;
+  /** Number of grants that expired without a report of their end. */
+  expiredGrantCount(): number;
 }
 
-interface Waiting {
+interface QueuedRequest {
   readonly request: GrantRequest;
-  readonly untilMs: number;
+  readonly deadlineMs: number;
   resolve(outcome: Grant | GrantRefusal): void;
 }
 
-interface Open {
+interface OpenGrant {
   readonly grant: Grant;
   readonly entry: string;
-  lapsesAtMs: number;
+  expiresAtMs: number;
 }
 
-const SLOTS = 4;
-const LIFE_MS = 5_000;
-const PUMP_MS = 50;
-const PROBE_MS = 1_000;
+const SLOTS_PER_ENGINE = 4;
+const GRANT_LIFETIME_MS = 5_000;
+const QUEUE_INTERVAL_MS = 50;
+const PROBE_INTERVAL_MS = 1_000;
 const PROBE_TIMEOUT_MS = 200;
 
 export function createSmallHome(host: SmallHomeHost): SmallHome {
   const {clock} = host;
-  const down = new Set<string>();
+  const downIds = new Set<string>();
   const leaving = new Set<string>();
-  const open = new Map<string, Open>();
-  let queue: readonly Waiting[] = [];
-  let nextGrant = 1;
+  const openGrants = new Map<string, OpenGrant>();
+  let queue: readonly QueuedRequest[] = [];
+  let nextGrantNumber = 1;
   let homeEpoch = 1;
-  let turn = 0;
-  let lapsed = 0;
+  let nextEngineIndex = 0;
+  let expiredCount = 0;
 
-  function refusal(reason: GrantRefusal['reason']): GrantRefusal {
+  function createRefusal(reason: GrantRefusal['reason']): GrantRefusal {
     return {kind: 'refused', reason, retryAfterMs: 50};
   }
 
-  function loadOf(engineId: string): number {
-    return [...open.values()].filter(
+  function countOpenGrants(engineId: string): number {
+    return [...openGrants.values()].filter(
       ({grant}) =>
         grant.decodeEngineId === engineId || grant.prefillEngineId === engineId,
     ).length;
   }
 
-  function choose(engines: readonly HomeEngine[]): HomeEngine | undefined {
+  function chooseEngine(
+    engines: readonly HomeEngine[],
+  ): HomeEngine | undefined {
     const usable = engines.filter(
       ({engineId}) =>
-        !down.has(engineId) &&
+        !downIds.has(engineId) &&
         !leaving.has(engineId) &&
-        loadOf(engineId) < SLOTS,
+        countOpenGrants(engineId) < SLOTS_PER_ENGINE,
     );
-    return usable[turn++ % Math.max(1, usable.length)];
+    return usable[nextEngineIndex++ % Math.max(1, usable.length)];
   }
 
   function tryGrant(request: GrantRequest): Grant | undefined {
-    const prefill = choose(host.prefill);
-    const decode = choose(host.decode);
+    const prefill = chooseEngine(host.prefill);
+    const decode = chooseEngine(host.decode);
     if (!prefill || !decode) return undefined;
     const grant: Grant = {
       kind: 'granted',
-      grantId: `g${nextGrant++}`,
+      grantId: `g${nextGrantNumber++}`,
       homeEpoch,
       prefillEngineId: prefill.engineId,
       prefillAddress: prefill.address,
       decodeEngineId: decode.engineId,
       decodeAddress: decode.address,
-      lifeMs: LIFE_MS,
-      startInMs: turn % 3 === 0 ? 15 : 0,
+      lifeMs: GRANT_LIFETIME_MS,
+      startInMs: nextEngineIndex % 3 === 0 ? 15 : 0,
     };
-    open.set(grant.grantId, {
+    openGrants.set(grant.grantId, {
       grant,
       entry: request.owner.entry,
-      lapsesAtMs: clock.nowMs() + LIFE_MS,
+      expiresAtMs: clock.nowMs() + GRANT_LIFETIME_MS,
     });
     return grant;
   }
 
-  function pump(): void {
-    for (const [id, held] of open) {
-      if (held.lapsesAtMs >= clock.nowMs()) continue;
-      open.delete(id);
-      lapsed++;
+  function processQueue(): void {
+    for (const [id, openGrant] of openGrants) {
+      if (openGrant.expiresAtMs >= clock.nowMs()) continue;
+      openGrants.delete(id);
+      expiredCount++;
     }
-    const waiting = queue;
+    const requests = queue;
     queue = [];
-    for (const place of waiting) {
-      const grant = tryGrant(place.request);
-      if (grant) place.resolve(grant);
-      else if (place.untilMs <= clock.nowMs()) {
-        place.resolve(refusal('not-feasible'));
-      } else queue = [...queue, place];
+    for (const queued of requests) {
+      const grant = tryGrant(queued.request);
+      if (grant) queued.resolve(grant);
+      else if (queued.deadlineMs <= clock.nowMs()) {
+        queued.resolve(createRefusal('not-feasible'));
+      } else queue = [...queue, queued];
     }
-    if (queue.length > 0 || open.size > 0) schedulePump();
-    else isPumping = false;
+    if (queue.length > 0 || openGrants.size > 0) scheduleProcessing();
+    else isProcessingScheduled = false;
   }
 
-  let isPumping = false;
-  function schedulePump(): void {
-    isPumping = true;
-    clock.setTimer(PUMP_MS, pump);
+  let isProcessingScheduled = false;
+  function scheduleProcessing(): void {
+    isProcessingScheduled = true;
+    clock.setTimer(QUEUE_INTERVAL_MS, processQueue);
   }
 
-  async function watchDown(engine: HomeEngine): Promise<void> {
+  async function probeUntilAlive(engine: HomeEngine): Promise<void> {
     const result = await host
       .enginePort(engine.address)
       .probe(PROBE_TIMEOUT_MS);
-    if (result === 'alive') down.delete(engine.engineId);
-    else clock.setTimer(PROBE_MS, () => void watchDown(engine));
+    if (result === 'alive') downIds.delete(engine.engineId);
+    else clock.setTimer(PROBE_INTERVAL_MS, () => void probeUntilAlive(engine));
   }
 
   function markDown(engineId: string): void {
     const engine = [...host.prefill, ...host.decode].find(
-      known => known.engineId === engineId,
+      each => each.engineId === engineId,
     );
-    if (!engine || down.has(engineId)) return;
-    down.add(engineId);
-    clock.setTimer(PROBE_MS, () => void watchDown(engine));
+    if (!engine || downIds.has(engineId)) return;
+    downIds.add(engineId);
+    clock.setTimer(PROBE_INTERVAL_MS, () => void probeUntilAlive(engine));
   }
 
   function report(grant: Grant, progress: GrantProgress): void {
-    const held = open.get(grant.grantId);
-    if (held) held.lapsesAtMs = clock.nowMs() + LIFE_MS;
+    const openGrant = openGrants.get(grant.grantId);
+    if (openGrant) openGrant.expiresAtMs = clock.nowMs() + GRANT_LIFETIME_MS;
     if (progress.kind !== 'ended') return;
-    open.delete(grant.grantId);
+    openGrants.delete(grant.grantId);
     if (progress.failedEngineId !== undefined) {
       markDown(progress.failedEngineId);
     }
@@ -160,37 +165,38 @@
   return {
     request: (request, signal) =>
       new Promise(resolve => {
-        const place: Waiting = {
+        const queued: QueuedRequest = {
           request,
-          untilMs: clock.nowMs() + Math.max(0, request.waitLeftMs - 100),
+          deadlineMs: clock.nowMs() + Math.max(0, request.waitLeftMs - 100),
           resolve,
         };
         signal.addEventListener('abort', () => {
-          if (!queue.includes(place)) return;
-          queue = queue.filter(other => other !== place);
-          resolve(refusal('cancelled'));
+          if (!queue.includes(queued)) return;
+          queue = queue.filter(other => other !== queued);
+          resolve(createRefusal('cancelled'));
         });
-        // A round trip to the home.
+        // Simulates a round trip to the home.
         clock.setTimer(2, () => {
           const grant = tryGrant(request);
           if (grant) resolve(grant);
-          else queue = [...queue, place];
-          if (!isPumping) schedulePump();
+          else queue = [...queue, queued];
+          if (!isProcessingScheduled) scheduleProcessing();
         });
       }),
     report,
     markLeaving: engineId => void leaving.add(engineId),
-    entryGone(entry) {
-      queue = queue.filter(place => place.request.owner.entry !== entry);
-      for (const [id, held] of open) if (held.entry === entry) open.delete(id);
+    releaseEntry(entry) {
+      queue = queue.filter(queued => queued.request.owner.entry !== entry);
+      for (const [id, openGrant] of openGrants)
+        if (openGrant.entry === entry) openGrants.delete(id);
     },
-    moveHome() {
+    restartHome() {
       homeEpoch++;
-      open.clear();
-      for (const place of queue) place.resolve(refusal('home-moved'));
+      openGrants.clear();
+      for (const queued of queue) queued.resolve(createRefusal('home-moved'));
       queue = [];
     },
-    openGrants: () => open.size,
-    lapsedGrants: () => lapsed,
+    openGrantCount: () => openGrants.size,
+    expiredGrantCount: () => expiredCount,
   };
 }
--- a/bench/support/sse_client.ts
+++ b/bench/support/sse_client.ts
@@ -1,4 +1,4 @@
-/** A light client that reads streamed answers and counts their tokens. */
+/** A client that reads streamed answers and counts their tokens. */
 
 import {Agent, request, type ClientRequest} from 'node:http';
 
@@ -7,11 +7,11 @@
 
 export interface StreamResult {
   readonly status: number;
-  /** Undefined when no token came. */
+  /** Undefined if no token arrived. */
   readonly firstTokenMs: number | undefined;
   readonly totalMs: number;
   readonly tokenCount: number;
-  /** True if the stream closed with its mark of wholeness. */
+  /** Whether the stream contained its `[DONE]` event. */
   readonly isWhole: boolean;
 }
 
@@ -36,16 +36,16 @@
   let firstTokenMs: number | undefined;
   let call: ClientRequest;
 
-  function take(chunk: Buffer): void {
+  function countTokens(chunk: Buffer): void {
     firstTokenMs ??= performance.now() - startMs;
-    let at = chunk.indexOf(DATA);
-    while (at >= 0) {
+    let index = chunk.indexOf(DATA);
+    while (index >= 0) {
       dataCount++;
-      at = chunk.indexOf(DATA, at + DATA.length);
+      index = chunk.indexOf(DATA, index + DATA.length);
     }
     if (chunk.includes(DONE)) isWhole = true;
   }
-  /** The last two data lines are the finish reason and the mark. */
+  /** The last two data lines are the finish reason and `[DONE]`. */
   const tokensSoFar = () => (isWhole ? dataCount - 2 : dataCount);
 
   const result = new Promise<StreamResult>(resolve => {
@@ -64,7 +64,7 @@
     };
     call = request(url, options, response => {
       status = response.statusCode ?? 0;
-      response.on('data', take);
+      response.on('data', countTokens);
       response.on('end', finish);
       response.on('error', finish);
       response.on('close', finish);
@@ -75,7 +75,7 @@
   return {result, tokensSoFar, abort: () => void call.destroy()};
 }
 
-/** Values at the given shares of the sorted order. */
+/** Returns the value at the given share of the sorted values. */
 export function quantile(values: readonly number[], share: number): number {
   const sorted = [...values].sort((a, b) => a - b);
   const index = Math.min(sorted.length - 1, Math.floor(sorted.length * share));
--- a/bench/support/step_watch.ts
+++ b/bench/support/step_watch.ts
@@ -1,4 +1,4 @@
-/** Tells when a machine of the site first reaches a step. */
+/** Calls back when a request state machine first reaches a step. */
 
 import {stepModel} from '../../src/core/request/model_machine.js';
 import {stepPlain} from '../../src/core/request/plain_machine.js';
@@ -9,18 +9,22 @@
 
 export interface StepWatch {
   readonly machines: RequestMachines;
-  /** Calls back once, in the moment when the step is reached. */
+  /** Calls `callback` once, as soon as the step is reached. */
   onStep(machine: MachineName, step: string, callback: () => void): void;
 }
 
 export function createStepWatch(): StepWatch {
-  const waiting = new Map<string, (() => void)[]>();
+  const callbacksByStep = new Map<string, (() => void)[]>();
 
-  function note(machine: MachineName, before: string, after: string): void {
+  function notifyStep(
+    machine: MachineName,
+    before: string,
+    after: string,
+  ): void {
     if (before === after) return;
     const name = `${machine} ${after}`;
-    const callbacks = waiting.get(name) ?? [];
-    waiting.delete(name);
+    const callbacks = callbacksByStep.get(name) ?? [];
+    callbacksByStep.delete(name);
     callbacks.forEach(callback => callback());
   }
 
@@ -28,23 +32,26 @@
     machines: {
       stepModel(facts, state, event) {
         const result = stepModel(facts, state, event);
-        note('model', state.step, result.state.step);
+        notifyStep('model', state.step, result.state.step);
         return result;
       },
       stepPlain(facts, state, event) {
         const result = stepPlain(facts, state, event);
-        note('plain', state.step, result.state.step);
+        notifyStep('plain', state.step, result.state.step);
         return result;
       },
       stepSingleRun(facts, state, event) {
         const result = stepSingleRun(facts, state, event);
-        note('single', state.step, result.state.step);
+        notifyStep('single', state.step, result.state.step);
         return result;
       },
     },
     onStep(machine, step, callback) {
       const name = `${machine} ${step}`;
-      waiting.set(name, [...(waiting.get(name) ?? []), callback]);
+      callbacksByStep.set(name, [
+        ...(callbacksByStep.get(name) ?? []),
+        callback,
+      ]);
     },
   };
 }
--- a/tests/request/kept_answers_test.ts
+++ b/tests/request/kept_answers_test.ts
@@ -101,5 +101,5 @@
     engine => engine.books().sessions,
   );
   assert.deepEqual(held, []);
-  assert.equal(site.home.openGrants(), 0);
+  assert.equal(site.home.openGrantCount(), 0);
 });
