--- a/bench/support/request_site.ts
+++ b/bench/support/request_site.ts
@@ -66,7 +66,7 @@
   entries(): readonly SiteEntry[];
   killEntry(index: number): void;
   pauseEntry(index: number, durationMs: number): void;
-  /** Cuts the connections between the entry and the other processes. */
+  /** Cuts the connections between the entry and the other entries. */
   isolateEntry(index: number, durationMs: number): void;
   /** Marks an engine as leaving, and later also in the home. */
   markEngineLeaving(engine: EngineCore): void;
@@ -270,9 +270,11 @@
         owner,
         timeoutMs,
         () => {
-          const known = answerPlaces.get(key.idempotencyKey);
-          const isKnown = known?.tag === owner?.tag;
-          return Promise.resolve(isKnown ? known!.place : {kind: 'unsure'});
+          const storedPlace = answerPlaces.get(key.idempotencyKey);
+          const isCurrent = storedPlace?.tag === owner?.tag;
+          return Promise.resolve(
+            isCurrent ? storedPlace!.place : {kind: 'unsure'},
+          );
         },
         () => ({kind: 'unsure'}),
       );
--- a/bench/support/site_callers.ts
+++ b/bench/support/site_callers.ts
@@ -89,7 +89,7 @@
   const records: SendRecord[] = [];
   const hangUps = new Map<string, () => void>();
 
-  function pickEntry(first: number): SiteEntry | undefined {
+  function findAcceptingEntry(first: number): SiteEntry | undefined {
     for (let step = 0; step < ENTRY_COUNT; step++) {
       const entry = site.entries()[(first + step) % ENTRY_COUNT];
       if (entry.simulatedProcess.isAlive() && !entry.isDraining) return entry;
@@ -97,15 +97,15 @@
     return undefined;
   }
 
-  function send(spec: CallSpec, sends: number, entryIndex: number): void {
-    const entry = pickEntry(entryIndex);
+  function send(spec: CallSpec, attempt: number, entryIndex: number): void {
+    const entry = findAcceptingEntry(entryIndex);
     if (!entry) {
-      clock.setTimer(RETRY_DELAY_MS, () => send(spec, sends, entryIndex));
+      clock.setTimer(RETRY_DELAY_MS, () => send(spec, attempt, entryIndex));
       return;
     }
     const record: SendRecord = {
       spec,
-      requestId: `${spec.sender}/${spec.isRepeat ? 'late' : sends}`,
+      requestId: `${spec.sender}/${spec.isRepeat ? 'late' : attempt}`,
       entry,
       texts: [],
       outcomes: [],
@@ -116,55 +116,55 @@
       arrivedAtMs: undefined,
     };
     records.push(record);
-    const again = (delayMs: number) => {
-      if (sends >= spec.maxSends) return;
-      clock.setTimer(delayMs, () => send(spec, sends + 1, entry.index + 1));
+    const resend = (delayMs: number) => {
+      if (attempt >= spec.maxSends) return;
+      clock.setTimer(delayMs, () => send(spec, attempt + 1, entry.index + 1));
     };
     let running: RunningRequest | undefined;
     entry.simulatedProcess.run(() => {
-      running = run(record, outcome => {
+      running = startRequest(record, outcome => {
         const isRetried =
           outcome.kind === 'failed' &&
           errorAnswers[outcome.error.kind].retryable;
-        if (isRetried) again(outcome.error.retryAfterMs ?? RETRY_DELAY_MS);
+        if (isRetried) resend(outcome.error.retryAfterMs ?? RETRY_DELAY_MS);
       });
     });
     const hangUp = () => {
       if (record.outcomes.length > 0 || record.hasHungUp) return;
       record.hasHungUp = true;
       entry.simulatedProcess.run(() => running?.callerGone());
-      again(CHECK_INTERVAL_MS);
+      resend(CHECK_INTERVAL_MS);
     };
     hangUps.set(spec.sender, hangUp);
-    if (spec.hangUpAfterMs !== undefined && sends === 1) {
+    if (spec.hangUpAfterMs !== undefined && attempt === 1) {
       clock.setTimer(spec.hangUpAfterMs, hangUp);
     }
-    watchConnection(record, again);
+    watchConnection(record, resend);
   }
 
   /** Retries if the entry dies or no answer arrives in time. */
   function watchConnection(
     record: SendRecord,
-    again: (delayMs: number) => void,
+    resend: (delayMs: number) => void,
   ): void {
     const {spec, entry} = record;
-    const untilMs = clock.nowMs() + spec.waitMs + CALLER_TIMEOUT_MARGIN_MS;
+    const timeoutAtMs = clock.nowMs() + spec.waitMs + CALLER_TIMEOUT_MARGIN_MS;
     const checkConnection = () => {
       if (record.outcomes.length > 0 || record.hasHungUp) return;
       const isLost =
-        !entry.simulatedProcess.isAlive() || clock.nowMs() > untilMs;
+        !entry.simulatedProcess.isAlive() || clock.nowMs() > timeoutAtMs;
       if (!isLost) {
         clock.setTimer(CHECK_INTERVAL_MS, checkConnection);
         return;
       }
       record.isConnectionLost = !entry.simulatedProcess.isAlive();
       record.hasHungUp = true;
-      again(0);
+      resend(0);
     };
     clock.setTimer(CHECK_INTERVAL_MS, checkConnection);
   }
 
-  function run(
+  function startRequest(
     record: SendRecord,
     onOutcome: (outcome: SendOutcome) => void,
   ): RunningRequest {
--- a/bench/support/site_entry.ts
+++ b/bench/support/site_entry.ts
@@ -143,9 +143,9 @@
 
   const enginePorts = new Map<string, EnginePort>();
   const enginePort: EnginePortFactory = target => {
-    const known = enginePorts.get(target) ?? createEnginePort(target);
-    enginePorts.set(target, known);
-    return known;
+    const port = enginePorts.get(target) ?? createEnginePort(target);
+    enginePorts.set(target, port);
+    return port;
   };
   function createEnginePort(target: string): EnginePort {
     const engine = host.enginePort(target);
@@ -186,8 +186,8 @@
   );
 
   function journalOwner(partition: number): JournalOwner {
-    const known = owners.get(partition);
-    if (known) return known;
+    const existingOwner = owners.get(partition);
+    if (existingOwner) return existingOwner;
     const owner = createJournalOwner(
       {
         clock: simulatedProcess.clock,
--- a/bench/support/site_faults.ts
+++ b/bench/support/site_faults.ts
@@ -23,7 +23,7 @@
   site.clock.setTimer(fault.durationMs, stop);
 }
 
-function pick<T>(items: readonly T[], target: number): T {
+function pickTarget<T>(items: readonly T[], target: number): T {
   return items[target % items.length];
 }
 
@@ -54,22 +54,24 @@
     const index = site.entries().findIndex(entry => entry.tag === holder);
     if (index >= 0) site.pauseEntry(index, 1_500 + durationMs);
   },
-  'prefill engine dies': (site, {target}) => pick(site.prefill, target).crash(),
-  'decode engine dies': (site, {target}) => pick(site.decode, target).crash(),
+  'prefill engine dies': (site, {target}) =>
+    pickTarget(site.prefill, target).crash(),
+  'decode engine dies': (site, {target}) =>
+    pickTarget(site.decode, target).crash(),
   'prefill engine freezes'(site, fault) {
-    const {gate} = pick(site.prefill, fault.target);
+    const {gate} = pickTarget(site.prefill, fault.target);
     applyForDuration(site, fault, gate.freeze, gate.thaw);
   },
   'decode engine freezes'(site, fault) {
-    const {gate} = pick(site.decode, fault.target);
+    const {gate} = pickTarget(site.decode, fault.target);
     applyForDuration(site, fault, gate.freeze, gate.thaw);
   },
   'prefill connections go silent': (site, {target}) =>
-    pick(site.prefill, target).gate.silence(2),
+    pickTarget(site.prefill, target).gate.silence(2),
   'decode connections go silent': (site, {target}) =>
-    pick(site.decode, target).gate.silence(2),
+    pickTarget(site.decode, target).gate.silence(2),
   'transfers stall'(site, fault) {
-    const engine = pick(site.prefill, fault.target);
+    const engine = pickTarget(site.prefill, fault.target);
     applyForDuration(
       site,
       fault,
@@ -92,15 +94,15 @@
         ),
     );
   },
-  'service dies': (site, {target}) => pick(site.services, target).crash(),
+  'service dies': (site, {target}) => pickTarget(site.services, target).crash(),
   'service freezes'(site, fault) {
-    const {gate} = pick(site.services, fault.target);
+    const {gate} = pickTarget(site.services, fault.target);
     applyForDuration(site, fault, gate.freeze, gate.thaw);
   },
   'service connections go silent': (site, {target}) =>
-    pick(site.services, target).gate.silence(2),
+    pickTarget(site.services, target).gate.silence(2),
   'service answers are lost'(site, fault) {
-    const service = pick(site.services, fault.target);
+    const service = pickTarget(site.services, fault.target);
     applyForDuration(
       site,
       fault,
@@ -154,7 +156,7 @@
 
 export const faultKinds = Object.keys(injectors) as readonly FaultKind[];
 
-/** Faults that are also injected second: platform faults, deaths, lost leases. */
+/** Faults that the matrix also injects as the second fault of a pair. */
 export const pairedKinds: readonly FaultKind[] = faultKinds.filter(
   kind =>
     kind.startsWith('platform') ||
--- a/bench/support/site_observer.ts
+++ b/bench/support/site_observer.ts
@@ -130,7 +130,7 @@
   }
   const repeatedRuns = [...runs].filter(([, count]) => count > 1);
   const bodies = new Map<string, string>();
-  const differing = records.filter(({spec, outcomes}) => {
+  const differingAnswers = records.filter(({spec, outcomes}) => {
     const outcome = outcomes[0];
     if (spec.kind !== 'single' || !spec.key) return false;
     if (outcome?.kind !== 'answered') return false;
@@ -144,7 +144,7 @@
       promise: 'at most once' as const,
       what: `${name} ran ${count} times`,
     })),
-    ...differing.map(({requestId}) => ({
+    ...differingAnswers.map(({requestId}) => ({
       promise: 'answered once' as const,
       what: `${requestId}: a repeat got another answer`,
     })),
@@ -187,8 +187,8 @@
 
 /** An entry that ended after a drain has answered all its callers. */
 function checkDrain(record: SendRecord): readonly Violation[] {
-  const isCut = record.entry.hasDrained && record.isConnectionLost;
-  if (!isCut || record.arrivedAtMs === undefined) return [];
+  const isInterrupted = record.entry.hasDrained && record.isConnectionLost;
+  if (!isInterrupted || record.arrivedAtMs === undefined) return [];
   return [
     {promise: 'shutdown cuts nothing', what: `${record.requestId} was cut`},
   ];
