--- a/bench/nine_processes.ts
+++ b/bench/nine_processes.ts
@@ -18,7 +18,10 @@
   type Fleet,
   type FleetHost,
 } from './support/fleet.js';
-import {createOperatorSeat, type OperatorSeat} from './support/operators.js';
+import {
+  createOperatorClient,
+  type OperatorClient,
+} from './support/operators.js';
 
 const HOST_COUNT = 9;
 const POLL_MS = 50;
@@ -32,7 +35,7 @@
 
 interface Bench {
   readonly fleet: Fleet;
-  readonly seats: readonly OperatorSeat[];
+  readonly seats: readonly OperatorClient[];
   readonly random: Random;
   /** Newest revision whose acceptance was reported to an operator. */
   acceptedRevision: number;
@@ -68,7 +71,7 @@
 }
 
 async function isInForceAtAll(
-  seats: readonly OperatorSeat[],
+  seats: readonly OperatorClient[],
   revision: number,
 ): Promise<boolean> {
   const all = await Promise.all(seats.map(seat => seat.readStatus()));
@@ -117,7 +120,7 @@
   const seen = new Map<string, number>();
   let reverts = 0;
   let isStopped = false;
-  async function checkRevision(seat: OperatorSeat): Promise<void> {
+  async function checkRevision(seat: OperatorClient): Promise<void> {
     const status = await seat.readStatus();
     const now = status?.configuration.inForceRevision ?? 0;
     // A process that has just started reports 0 until it has a revision.
@@ -279,7 +282,7 @@
 
 /** Whether the given processes together hold the leases of all partitions. */
 async function isOwnedByOthers(
-  seats: readonly OperatorSeat[],
+  seats: readonly OperatorClient[],
 ): Promise<boolean> {
   const all = await Promise.all(seats.map(seat => seat.readStatus()));
   const held = all.flatMap(status => status?.leases ?? []);
@@ -339,7 +342,7 @@
   try {
     const bench: Bench = {
       fleet,
-      seats: fleet.hosts.map(createOperatorSeat),
+      seats: fleet.hosts.map(createOperatorClient),
       random: createSeededRandom(Number(values.seed)),
       acceptedRevision: 1,
     };
--- a/bench/overhead.ts
+++ b/bench/overhead.ts
@@ -130,7 +130,7 @@
   const url = `http://${entry}/v1/chat/completions`;
   const body = chatBody(nextPrompt(), maxTokens);
   const answer = await streamAnswer(url, headers, body).result;
-  if (!answer.isWhole || answer.firstTokenMs === undefined) return undefined;
+  if (!answer.isComplete || answer.firstTokenMs === undefined) return undefined;
   return {firstTokenMs: answer.firstTokenMs, totalMs: answer.totalMs};
 }
 
--- a/bench/process_faults.ts
+++ b/bench/process_faults.ts
@@ -239,7 +239,7 @@
   const endMs = performance.now() - startMs;
   const refused = answers.filter(answer => answer.status !== 200).length;
   const cut = answers.filter(
-    answer => answer.status === 200 && !answer.isWhole,
+    answer => answer.status === 200 && !answer.isComplete,
   ).length;
   return {
     name: `SIGTERM under ${DRAIN_STREAMS} streams`,
--- a/bench/support/operators.ts
+++ b/bench/support/operators.ts
@@ -34,7 +34,7 @@
   readonly author: string;
 }
 
-export interface OperatorSeat {
+export interface OperatorClient {
   readonly host: FleetHost;
   /** Returns undefined if the process does not answer. */
   readStatus(): Promise<HostStatus | undefined>;
@@ -70,7 +70,7 @@
   throw new Error('The outcome of a change is unknown after the last attempt.');
 }
 
-export function createOperatorSeat(host: FleetHost): OperatorSeat {
+export function createOperatorClient(host: FleetHost): OperatorClient {
   const transport = createPeerTransport(host.peerAddress, OPERATOR_KEY);
   const client = createClient(Operator, transport);
   return {
--- a/bench/support/sse_client.ts
+++ b/bench/support/sse_client.ts
@@ -12,7 +12,7 @@
   readonly totalMs: number;
   readonly tokenCount: number;
   /** Whether the stream contained its `[DONE]` event. */
-  readonly isWhole: boolean;
+  readonly isComplete: boolean;
 }
 
 export interface StreamCall {
@@ -31,7 +31,7 @@
 ): StreamCall {
   const startMs = performance.now();
   let dataCount = 0;
-  let isWhole = false;
+  let isComplete = false;
   let status = 0;
   let firstTokenMs: number | undefined;
   let call: ClientRequest;
@@ -43,10 +43,10 @@
       dataCount++;
       index = chunk.indexOf(DATA, index + DATA.length);
     }
-    if (chunk.includes(DONE)) isWhole = true;
+    if (chunk.includes(DONE)) isComplete = true;
   }
   /** The last two data lines are the finish reason and `[DONE]`. */
-  const tokensSoFar = () => (isWhole ? dataCount - 2 : dataCount);
+  const tokensSoFar = () => (isComplete ? dataCount - 2 : dataCount);
 
   const result = new Promise<StreamResult>(resolve => {
     const finish = () =>
@@ -55,7 +55,7 @@
         firstTokenMs,
         totalMs: performance.now() - startMs,
         tokenCount: Math.max(0, tokensSoFar()),
-        isWhole,
+        isComplete,
       });
     const options = {
       method: 'POST',
