--- a/scripts/build_binary.mjs
+++ b/scripts/build_binary.mjs
@@ -1,6 +1,6 @@
 /**
- * `npm run build`: bundles the program with esbuild and makes it one
- * executable, `dist/corianderbend`, by Node's single-executable support.
+ * `npm run build`: bundles the program with esbuild and packs the bundle into
+ * a Node single executable application, `dist/corianderbend`.
  */
 
 import {copyFileSync, chmodSync, mkdirSync, writeFileSync} from 'node:fs';
--- a/scripts/build_bundle.mjs
+++ b/scripts/build_bundle.mjs
@@ -1,6 +1,6 @@
 /**
- * Bundles the program with esbuild into the folder given, in parts: each
- * command loads only the parts it needs.
+ * Bundles the program with esbuild into the given folder (default `target`).
+ * Code splitting lets each command load only the chunks it needs.
  */
 
 import path from 'node:path';
@@ -18,7 +18,7 @@
   platform: 'node',
   target: 'node20',
   format: 'esm',
-  // Some libraries are CommonJS and ask for Node's own modules at run time.
+  // Some bundled CommonJS libraries call require() for Node's built-in modules.
   banner: {
     js: "import {createRequire as nodeRequire} from 'node:module'; const require = nodeRequire(import.meta.url);",
   },
--- a/scripts/check_guards.mjs
+++ b/scripts/check_guards.mjs
@@ -1,7 +1,8 @@
 /**
- * Shows that the scenarios bite: for each `guard FILE "text" "replacement"` in
- * a scenario, takes the guard out of a compiled copy of the program and runs
- * the scenario, which must fail. Arguments pick scenarios by part of a name.
+ * `npm run guards`: mutation test of the scenarios. Each scenario must have a
+ * line `guard FILE "text" "replacement"`. Replaces the text in a compiled copy
+ * of the program and runs the scenario, which must then fail. Arguments select
+ * scenarios by part of their file name.
  */
 
 import {spawn} from 'node:child_process';
@@ -16,31 +17,38 @@
 import path from 'node:path';
 import {ensureCompiled, root} from './toolchain.mjs';
 
-const PARALLEL = 2;
-const TIMEOUT_MS = 120_000;
-const GUARD = /^guard (\S+) "([^"]+)" "([^"]*)"$/m;
+const WORKER_COUNT = 2;
+const SCENARIO_TIMEOUT_MS = 120_000;
+const GUARD_PATTERN = /^guard (\S+) "([^"]+)" "([^"]*)"$/m;
 
 const scenarioFolder = path.join(root, 'tests', 'cases', 'scenarios');
 const workFolder = path.join(root, 'build', 'guards');
 
-function readGuards(wanted) {
+function readGuards(nameParts) {
   return readdirSync(scenarioFolder)
     .filter(name => name.endsWith('.scenario'))
-    .filter(name => wanted.length === 0 || wanted.some(w => name.includes(w)))
+    .filter(
+      name =>
+        nameParts.length === 0 || nameParts.some(part => name.includes(part)),
+    )
     .map(name => {
       const file = path.join(scenarioFolder, name);
-      const match = GUARD.exec(readFileSync(file, 'utf8'));
+      const match = GUARD_PATTERN.exec(readFileSync(file, 'utf8'));
       if (!match) return {name, file};
       const [, source, text, replacement] = match;
       return {name, file, source, text, replacement};
     });
 }
 
-/** The guarded file without its guard, or why it cannot be made. */
+/**
+ * Replaces the guard in its source file and transpiles the result. Returns
+ * `problem` if the guard text does not occur exactly once.
+ */
 function mutate(guard, ts) {
   const code = readFileSync(path.join(root, guard.source), 'utf8');
-  const places = code.split(guard.text).length - 1;
-  if (places !== 1) return {problem: `guard text found ${places} times`};
+  const matchCount = code.split(guard.text).length - 1;
+  if (matchCount !== 1)
+    return {problem: `guard text found ${matchCount} times`};
   const changed = code.replace(guard.text, () => guard.replacement);
   const {outputText} = ts.transpileModule(changed, {
     compilerOptions: {
@@ -51,18 +59,18 @@
   return {outputText};
 }
 
-function runScenario(copy, file) {
+function runScenario(copyFolder, file) {
   return new Promise(resolve => {
-    const main = path.join(copy, 'src', 'cli', 'main.js');
+    const main = path.join(copyFolder, 'src', 'cli', 'main.js');
     const child = spawn(process.execPath, [main, 'scenario', 'run', file], {
       stdio: 'ignore',
-      timeout: TIMEOUT_MS,
+      timeout: SCENARIO_TIMEOUT_MS,
     });
     child.on('exit', resolve);
   });
 }
 
-async function work(copy, queue, results, ts) {
+async function runWorker(copyFolder, queue, results, ts) {
   for (let guard = queue.shift(); guard; guard = queue.shift()) {
     if (!guard.source) {
       results.push({name: guard.name, verdict: 'names no guard'});
@@ -73,10 +81,10 @@
       results.push({name: guard.name, verdict: problem});
       continue;
     }
-    const target = path.join(copy, guard.source.replace(/\.ts$/, '.js'));
+    const target = path.join(copyFolder, guard.source.replace(/\.ts$/, '.js'));
     const original = readFileSync(target);
     writeFileSync(target, outputText);
-    const code = await runScenario(copy, guard.file);
+    const code = await runScenario(copyFolder, guard.file);
     writeFileSync(target, original);
     const verdict = code === 0 ? 'NOT caught' : 'caught';
     results.push({name: guard.name, verdict});
@@ -88,15 +96,15 @@
 rmSync(workFolder, {recursive: true, force: true});
 const queue = readGuards(process.argv.slice(2));
 const results = [];
-const workers = Array.from({length: PARALLEL}, (_, i) => {
-  const copy = path.join(workFolder, String(i));
-  mkdirSync(copy, {recursive: true});
+const workers = Array.from({length: WORKER_COUNT}, (_, i) => {
+  const copyFolder = path.join(workFolder, String(i));
+  mkdirSync(copyFolder, {recursive: true});
   for (const part of ['src', 'stand_ins']) {
-    cpSync(path.join(root, 'build', part), path.join(copy, part), {
+    cpSync(path.join(root, 'build', part), path.join(copyFolder, part), {
       recursive: true,
     });
   }
-  return work(copy, queue, results, ts);
+  return runWorker(copyFolder, queue, results, ts);
 });
 await Promise.all(workers);
 results.sort((a, b) => (a.name < b.name ? -1 : 1));
--- a/scripts/run_compiled.mjs
+++ b/scripts/run_compiled.mjs
@@ -1,4 +1,4 @@
-/** Compiles, then runs one compiled file: `run_compiled.mjs FILE [ARG...]`. */
+/** `run_compiled.mjs FILE [ARG...]`: compiles, then runs `build/FILE`. */
 
 import path from 'node:path';
 import {ensureCompiled, root, runOrExit} from './toolchain.mjs';
--- a/scripts/run_tests.mjs
+++ b/scripts/run_tests.mjs
@@ -1,8 +1,8 @@
 /**
- * `npm test`: installs what is missing, compiles, and runs all tests.
- * With `--accept` it rewrites the reviewed baselines instead of comparing.
- * Other arguments pick test files by part of their path. Without such, files
- * that KNOWN-RED.txt lists as `PATH (not run)` are passed over and named.
+ * `npm test`: installs missing packages, compiles, and runs all tests. With
+ * `--accept`, rewrites the reviewed baselines instead of comparing with them.
+ * Other arguments select test files by part of their path. Without them, files
+ * that KNOWN-RED.txt lists as `PATH (not run)` are skipped and printed.
  */
 
 import {spawnSync} from 'node:child_process';
@@ -11,7 +11,7 @@
 import {ensureCompiled, root} from './toolchain.mjs';
 
 const TEST_SUFFIX = '_test.js';
-const CONCURRENCY = 6;
+const MAX_CONCURRENT_FILES = 6;
 
 function findTests(folder) {
   return readdirSync(folder, {withFileTypes: true})
@@ -23,8 +23,11 @@
     .sort();
 }
 
-/** Drops compiled tests whose source is gone, so that none runs twice. */
-function dropStale(tests) {
+/**
+ * Deletes compiled tests whose source no longer exists: a renamed test would
+ * otherwise run twice.
+ */
+function deleteStaleTests(tests) {
   return tests.filter(file => {
     const source = path
       .relative(path.join(root, 'build'), file)
@@ -35,8 +38,8 @@
   });
 }
 
-/** Paths of test sources that fail for a known fault. */
-function readKnownRed() {
+/** Returns the paths of the test sources that KNOWN-RED.txt lists as not run. */
+function readSkippedSources() {
   const list = path.join(root, 'KNOWN-RED.txt');
   if (!existsSync(list)) return [];
   const text = readFileSync(list, 'utf8');
@@ -46,21 +49,22 @@
 }
 
 const accept = process.argv.includes('--accept');
-const wanted = process.argv.slice(2).filter(arg => !arg.startsWith('--'));
+const pathParts = process.argv.slice(2).filter(arg => !arg.startsWith('--'));
 
 ensureCompiled();
-const all = dropStale(findTests(path.join(root, 'build', 'tests')));
-const passedOver = wanted.length === 0 ? readKnownRed() : [];
-for (const source of passedOver) console.log(`Known red, not run: ${source}`);
-const isPassedOver = file =>
-  passedOver.some(source =>
+const all = deleteStaleTests(findTests(path.join(root, 'build', 'tests')));
+const skippedSources = pathParts.length === 0 ? readSkippedSources() : [];
+for (const source of skippedSources)
+  console.log(`Known red, not run: ${source}`);
+const isSkipped = file =>
+  skippedSources.some(source =>
     file.endsWith(path.join('build', source.replace(/\.ts$/, '.js'))),
   );
 const tests = all.filter(
   file =>
     statSync(file).isFile() &&
-    !isPassedOver(file) &&
-    (wanted.length === 0 || wanted.some(part => file.includes(part))),
+    !isSkipped(file) &&
+    (pathParts.length === 0 || pathParts.some(part => file.includes(part))),
 );
 if (tests.length === 0) {
   console.error('run_tests: no test file matches.');
@@ -71,7 +75,7 @@
   [
     '--enable-source-maps',
     '--test',
-    `--test-concurrency=${CONCURRENCY}`,
+    `--test-concurrency=${MAX_CONCURRENT_FILES}`,
     ...tests,
   ],
   {
--- a/scripts/start.mjs
+++ b/scripts/start.mjs
@@ -1,11 +1,10 @@
 /**
  * `npm start`: installs and compiles what is missing, starts the stand-ins and
- * three processes of the system on loopback, shows a streamed model answer and
- * a ledger posting sent twice with one key, and then waits for Ctrl-C.
- * `npm start -- --once` stops by itself with exit code 0.
+ * three hosts on loopback, shows a streamed model answer and a ledger posting
+ * sent twice with one idempotency key, and then waits for Ctrl-C. With
+ * `npm start -- --once` it exits with code 0 after the demonstration.
  *
- * The processes are started here, by a script: no process of the system starts
- * another.
+ * This script starts all processes; no process of the system starts another.
  */
 
 import {randomUUID} from 'node:crypto';
@@ -19,10 +18,10 @@
 } from './toolchain.mjs';
 
 const HOSTS = ['ylikool-saal', 'annelinn-saal', 'raadi-ruum'];
-const ENTRIES = ['127.0.0.1:8081', '127.0.0.1:8082', '127.0.0.1:8083'];
-const PEER = '127.0.0.1:7901';
-const PLATFORM = 'http://127.0.0.1:7000';
-const LEDGER_BOOKS = 'http://127.0.0.1:7201/stand-in/books';
+const ENTRY_ADDRESSES = ['127.0.0.1:8081', '127.0.0.1:8082', '127.0.0.1:8083'];
+const PEER_ADDRESS = '127.0.0.1:7901';
+const PLATFORM_URL = 'http://127.0.0.1:7000';
+const LEDGER_STATE_URL = 'http://127.0.0.1:7201/stand-in/books';
 const CALLER_KEY = 'loopback-caller-key';
 const KEYS = {
   CORIANDERBEND_PEER_KEY: 'loopback-peer-key',
@@ -35,28 +34,28 @@
   {id: 'engine-4', port: 7104, role: 'decode', domain: 'ylikool-saal'},
   {id: 'engine-5', port: 7105, role: 'decode', domain: 'annelinn-saal'},
 ];
-const EXAMPLE = path.join(root, 'examples', 'loopback');
+const EXAMPLE_FOLDER = path.join(root, 'examples', 'loopback');
 const READY_TIMEOUT_MS = 20_000;
 const POLL_MS = 100;
 
-const say = text => console.log(text);
+const print = text => console.log(text);
 
 function startStandIn(kind, ...args) {
   const name = `stand-in ${kind}`;
   startProcess(name, ['stand-in', kind, ...args], {quiet: true});
 }
 
-/** The others put themselves on the platform's list, so it comes first. */
+/** Starts the platform first, because the other stand-ins register with it. */
 async function startStandIns() {
   const start = startStandIn;
   start('platform', '--address', '127.0.0.1:7000');
-  await waitUntilUp([`${PLATFORM}/hosts`]);
+  await waitUntilUp([`${PLATFORM_URL}/hosts`]);
   for (const {id, port, role, domain} of ENGINES) {
     start(
       'engine',
       ...['--id', id, '--address', `127.0.0.1:${port}`, '--role', role],
       ...['--domain', domain, '--service', 'aruande-koostaja'],
-      ...['--models', 'aruande-koostaja', '--platform', PLATFORM],
+      ...['--models', 'aruande-koostaja', '--platform', PLATFORM_URL],
       ...['--answer-tokens', '40'],
     );
   }
@@ -64,15 +63,15 @@
     'service',
     ...['--id', 'ledger-1', '--address', '127.0.0.1:7201'],
     ...['--domain', 'ylikool-saal', '--service', 'uus-pearaamat'],
-    ...['--platform', PLATFORM],
+    ...['--platform', PLATFORM_URL],
   );
   const engineUrls = ENGINES.map(({port}) => `http://127.0.0.1:${port}/load`);
-  await waitUntilUp([...engineUrls, LEDGER_BOOKS]);
+  await waitUntilUp([...engineUrls, LEDGER_STATE_URL]);
 }
 
 function startHosts() {
   for (const host of HOSTS) {
-    const file = path.join(EXAMPLE, 'hosts', `${host}.yaml`);
+    const file = path.join(EXAMPLE_FOLDER, 'hosts', `${host}.yaml`);
     startProcess(
       host,
       [
@@ -100,16 +99,16 @@
 }
 
 async function waitUntilUp(urls) {
-  const endMs = Date.now() + READY_TIMEOUT_MS;
+  const deadlineMs = Date.now() + READY_TIMEOUT_MS;
   for (const url of urls) {
     while (!(await isUp(url))) {
-      if (Date.now() > endMs) throw new Error(`${url} did not come up.`);
+      if (Date.now() > deadlineMs) throw new Error(`${url} did not come up.`);
       await sleep(POLL_MS);
     }
   }
 }
 
-/** Runs a command of the program to its end. */
+/** Runs a command of the program and returns its output; throws if it fails. */
 async function runCommand(args) {
   const child = startProcess('command', args, {env: KEYS, quiet: true});
   const code = await child.ended;
@@ -117,11 +116,11 @@
   return child.output().trim();
 }
 
-/** Puts the entry hosts on the platform's list, as a machine room would. */
-async function enlistHosts() {
+/** Registers the entry hosts with the platform, as a data center would. */
+async function registerHosts() {
   for (const [index, domain] of HOSTS.entries()) {
     const hostId = `${domain}-1`;
-    await fetch(`${PLATFORM}/hosts/${hostId}`, {
+    await fetch(`${PLATFORM_URL}/hosts/${hostId}`, {
       method: 'PUT',
       body: JSON.stringify({
         hostId,
@@ -135,22 +134,22 @@
 }
 
 async function applyConfiguration() {
-  const args = ['config', 'apply', '--peer', PEER];
-  args.push('--base', path.join(EXAMPLE, 'base.yaml'));
+  const args = ['config', 'apply', '--peer', PEER_ADDRESS];
+  args.push('--base', path.join(EXAMPLE_FOLDER, 'base.yaml'));
   args.push(
     '--overlay',
-    `loopback=${path.join(EXAMPLE, 'sites', 'loopback.yaml')}`,
+    `loopback=${path.join(EXAMPLE_FOLDER, 'sites', 'loopback.yaml')}`,
   );
-  say(await runCommand(args));
+  print(await runCommand(args));
 }
 
-/** Retries refusals that say when to come back, as a caller would. */
+/** Retries 429 and 503 responses, as a caller would, until a deadline. */
 async function callUntilServed(url, init) {
-  const endMs = Date.now() + READY_TIMEOUT_MS;
+  const deadlineMs = Date.now() + READY_TIMEOUT_MS;
   for (;;) {
     const response = await fetch(url, init);
     const isRefusal = response.status === 429 || response.status === 503;
-    if (!isRefusal || Date.now() > endMs) return response;
+    if (!isRefusal || Date.now() > deadlineMs) return response;
     await response.arrayBuffer();
     await sleep(POLL_MS);
   }
@@ -158,7 +157,7 @@
 
 async function showModelAnswer() {
   const response = await callUntilServed(
-    `http://${ENTRIES[0]}/v1/chat/completions`,
+    `http://${ENTRY_ADDRESSES[0]}/v1/chat/completions`,
     {
       method: 'POST',
       headers: {
@@ -179,13 +178,13 @@
     },
   );
   if (!response.ok) throw new Error(`model answer: ${await response.text()}`);
-  say('\nA model answer, streamed by the first entry:');
+  print('\nA model answer, streamed by the first entry:');
   const decoder = new TextDecoder();
-  let rest = '';
+  let incompleteLine = '';
   for await (const chunk of response.body) {
-    rest += decoder.decode(chunk, {stream: true});
-    const lines = rest.split('\n');
-    rest = lines.pop();
+    incompleteLine += decoder.decode(chunk, {stream: true});
+    const lines = incompleteLine.split('\n');
+    incompleteLine = lines.pop();
     for (const line of lines) {
       if (!line.startsWith('data: {')) continue;
       const text = JSON.parse(line.slice('data: '.length)).choices?.[0]?.delta
@@ -193,10 +192,10 @@
       if (text) process.stdout.write(text);
     }
   }
-  say('');
+  print('');
 }
 
-async function post(entry, key) {
+async function sendPosting(entry, key) {
   const response = await callUntilServed(
     `http://${entry}/services/uus-pearaamat/postings`,
     {
@@ -214,16 +213,16 @@
 
 async function showPosting() {
   const key = randomUUID();
-  const first = await post(ENTRIES[1], key);
-  const second = await post(ENTRIES[2], key);
-  const books = await (await fetch(LEDGER_BOOKS)).json();
-  const runs = books.runsByKey?.[key];
-  say('\nA ledger posting, sent twice with one key, to two entries:');
-  say(`  ${ENTRIES[1]}: ${first.status} ${first.text}`);
-  say(`  ${ENTRIES[2]}: ${second.status} ${second.text}`);
-  say(`  The ledger's own books: run ${runs} time(s).`);
+  const first = await sendPosting(ENTRY_ADDRESSES[1], key);
+  const second = await sendPosting(ENTRY_ADDRESSES[2], key);
+  const ledgerState = await (await fetch(LEDGER_STATE_URL)).json();
+  const runCount = ledgerState.runsByKey?.[key];
+  print('\nA ledger posting, sent twice with one key, to two entries:');
+  print(`  ${ENTRY_ADDRESSES[1]}: ${first.status} ${first.text}`);
+  print(`  ${ENTRY_ADDRESSES[2]}: ${second.status} ${second.text}`);
+  print(`  The ledger's own books: run ${runCount} time(s).`);
   if (
-    runs !== 1 ||
+    runCount !== 1 ||
     first.text !== second.text ||
     first.status !== second.status
   ) {
@@ -232,27 +231,27 @@
 }
 
 function showNextSteps() {
-  say('\nEverything runs. Try, from another terminal:');
-  say(`  curl http://${ENTRIES[0]}/v1/entries`);
-  say(
-    `  curl -N http://${ENTRIES[0]}/v1/chat/completions -H 'authorization: Bearer ${CALLER_KEY}' \\`,
+  print('\nEverything runs. Try, from another terminal:');
+  print(`  curl http://${ENTRY_ADDRESSES[0]}/v1/entries`);
+  print(
+    `  curl -N http://${ENTRY_ADDRESSES[0]}/v1/chat/completions -H 'authorization: Bearer ${CALLER_KEY}' \\`,
   );
-  say(
+  print(
     '    -H \'content-type: application/json\' -d \'{"model":"aruande-koostaja","stream":true,"messages":[{"role":"user","content":"hello"}]}\'',
   );
-  say('  export CORIANDERBEND_OPERATOR_KEY=loopback-operator-key');
-  say(`  node build/src/cli/main.js status --peer ${PEER}`);
-  say('Read on in README.md and docs/operators. Ctrl-C stops it all.');
+  print('  export CORIANDERBEND_OPERATOR_KEY=loopback-operator-key');
+  print(`  node build/src/cli/main.js status --peer ${PEER_ADDRESS}`);
+  print('Read on in README.md and docs/operators. Ctrl-C stops it all.');
 }
 
 async function main() {
   ensureCompiled();
   await startStandIns();
-  await enlistHosts();
+  await registerHosts();
   startHosts();
-  await waitUntilUp(ENTRIES.map(entry => `http://${entry}/healthz`));
+  await waitUntilUp(ENTRY_ADDRESSES.map(entry => `http://${entry}/healthz`));
   await applyConfiguration();
-  await waitUntilUp(ENTRIES.map(entry => `http://${entry}/readyz`));
+  await waitUntilUp(ENTRY_ADDRESSES.map(entry => `http://${entry}/readyz`));
   await showModelAnswer();
   await showPosting();
   if (process.argv.includes('--once')) return;
@@ -260,12 +259,12 @@
   await stopSignal;
 }
 
-// Listened to from the start: a signal that came while the processes start
-// would otherwise end this script and leave them behind.
+// The handlers are installed before any process starts: a signal during startup
+// would otherwise end this script and leave its processes running.
 const stopSignal = new Promise(resolve => {
   process.once('SIGINT', resolve);
   process.once('SIGTERM', resolve);
-}).then(() => say('\nStopping.'));
+}).then(() => print('\nStopping.'));
 
 try {
   await Promise.race([main(), stopSignal]);
--- a/scripts/toolchain.mjs
+++ b/scripts/toolchain.mjs
@@ -1,4 +1,4 @@
-/** Steps that the other scripts share: install, compile, run. */
+/** Functions shared by the scripts: install, compile, start and stop processes. */
 
 import {spawn, spawnSync} from 'node:child_process';
 import {existsSync} from 'node:fs';
@@ -7,19 +7,19 @@
 
 export const root = path.dirname(path.dirname(fileURLToPath(import.meta.url)));
 
-/** Runs a command to its end with our standard streams; exits if it fails. */
+/** Runs a command with inherited stdio; exits this process if it fails. */
 export function runOrExit(command, args) {
   const result = spawnSync(command, args, {cwd: root, stdio: 'inherit'});
   if (result.status !== 0) process.exit(result.status ?? 1);
 }
 
-/** Installs the declared packages when there are none. */
+/** Installs the declared packages if TypeScript is not installed. */
 export function ensureInstalled() {
   if (existsSync(path.join(root, 'node_modules', 'typescript'))) return;
   runOrExit('npm', ['ci', '--no-audit', '--no-fund', '--loglevel=error']);
 }
 
-/** Compiles all TypeScript into `build/`; only what changed. */
+/** Compiles all changed TypeScript sources into `build/`. */
 export function ensureCompiled() {
   ensureInstalled();
   runOrExit(process.execPath, [
@@ -34,8 +34,8 @@
 let isStopping = false;
 
 /**
- * Starts the compiled program with `args`. Output is shown with the name
- * before each line, or kept for `output()` when `quiet`.
+ * Starts the compiled program with `args`. Each output line is printed with the
+ * name as prefix, unless `quiet`. `output()` returns all output so far.
  */
 export function startProcess(name, args, {env = {}, quiet = false} = {}) {
   const main = path.join(root, 'build', 'src', 'cli', 'main.js');
@@ -43,18 +43,18 @@
     cwd: root,
     env: {...process.env, ...env},
     stdio: ['ignore', 'pipe', 'pipe'],
-    // Ctrl-C reaches the whole group of the terminal; the script stops its
-    // processes itself, in order, so they stand in groups of their own.
+    // Ctrl-C signals the whole foreground process group. Children get their own
+    // groups, because the script stops them itself with `stopProcesses`.
     detached: true,
   });
   let output = '';
-  const show = chunk => {
+  const handleOutput = chunk => {
     output += chunk;
     if (!quiet)
       process.stdout.write(String(chunk).replace(/^(?=.)/gm, `[${name}] `));
   };
-  child.stdout.on('data', show);
-  child.stderr.on('data', show);
+  child.stdout.on('data', handleOutput);
+  child.stderr.on('data', handleOutput);
   children.add(child);
   const ended = new Promise(resolve => {
     child.once('exit', code => {
@@ -67,7 +67,10 @@
   return {child, ended, output: () => output};
 }
 
-/** Ends every process that `startProcess` started and that still runs. */
+/**
+ * Sends SIGTERM to all running processes that `startProcess` started, and
+ * SIGKILL to those that still run after `STOP_TIMEOUT_MS`.
+ */
 export async function stopProcesses() {
   isStopping = true;
   const exits = [...children].map(child => {
