--- a/src/core/request/journal_rows.ts
+++ b/src/core/request/journal_rows.ts
@@ -35,7 +35,7 @@
 export type JournalRow = Readonly<z.infer<typeof rowSchema>>;
 export type RowAnswer = Readonly<z.infer<typeof answerSchema>>;
 
-/** Returns undefined for a malformed row; calls with its key are not run. */
+/** Returns undefined for a malformed row; a call with its key is not run. */
 export function parseJournalRow(value: JsonRecord): JournalRow | undefined {
   const parsed = rowSchema.safeParse(value);
   return parsed.success ? parsed.data : undefined;
@@ -103,7 +103,8 @@
     case 'unknown':
       return done({kind: 'outcome-unknown', attemptId: row.attemptId});
     case 'intended':
-      // The answer to an earlier attempt may have been lost.
+      // This attempt has written the row itself, but the journal's reply may
+      // have been lost.
       if (isOwnIntent(row, request)) return done({kind: 'proceed'});
       return facts.isEntryAlive(row.entry)
         ? done({kind: 'running', retryAfterMs: facts.runningRetryMs})
--- a/src/core/request/model_held.ts
+++ b/src/core/request/model_held.ts
@@ -1,6 +1,7 @@
 /**
- * The resources that each step of a model request holds at engines and homes,
- * and the effects that release them. Every exit from a step uses this file.
+ * The resources that each step of a model request holds at engines, and at the
+ * homes that granted them, and the effects that release them. All code that
+ * ends a step uses these functions.
  */
 
 import type {ModelEffect, ModelState} from './model_types.js';
@@ -71,7 +72,10 @@
   ];
 }
 
-/** Returns the effects that release the queue entry, engines and grant. */
+/**
+ * Returns the effects that withdraw a waiting grant request, release the
+ * resources at the engines and report the end of the grant.
+ */
 export function getReleaseEffects(
   state: ModelState,
   result: 'cancelled' | 'failed',
--- a/src/core/request/model_machine.ts
+++ b/src/core/request/model_machine.ts
@@ -1,6 +1,6 @@
 /**
  * The lifecycle of one model request as a pure state machine. It maps a state
- * and an event to the next state and the effects that the task must perform.
+ * and an event to the next state and the effects that its caller must perform.
  */
 
 import {callerGoneError, finalError, deadlineError} from './model_errors.js';
@@ -113,7 +113,8 @@
   'grant-given'(facts, state, event) {
     const {grant} = event;
     // A grant that arrives after its request was cancelled still reserves a
-    // slot at the home; without a report the slot stays reserved until expiry.
+    // slot at the home, the host that grants the slots of these engines.
+    // Without a report the slot stays reserved until the grant expires.
     if (!isCurrent(state, event.attempt, 'awaiting-grant')) {
       return transitionTo(
         state,
@@ -221,8 +222,9 @@
     if (isCurrent(state, attempt, step)) {
       return runFailed(state, {engineId, address}, failure.reason);
     }
-    // The release may have reached the engine before the call did. A second
-    // release frees resources that the engine allocated in between.
+    // The release sent when the step ended may have reached the engine before
+    // the prefill or import did. A second one frees what the engine allocated
+    // after the first.
     return notRunReasons.has(failure.reason)
       ? transitionTo(state)
       : transitionTo(state, {kind: 'release', attempt, address});
--- a/src/core/request/model_runs.ts
+++ b/src/core/request/model_runs.ts
@@ -30,7 +30,7 @@
   'unreachable',
 ]);
 
-/** Failures caused either by a failed engine or by a failed connection. */
+/** Failures that a failed engine and a failed connection can both cause. */
 export const ambiguousReasons: ReadonlySet<EngineFailure['reason']> = new Set([
   'broken',
   'timeout',
@@ -238,7 +238,7 @@
     return deliver(facts, state, frame.offset, frame.texts);
   }
   if (frame.kind === 'cut') return decodeFailed(state, frame.failure.reason);
-  // A final length that differs from the delivered one shows a lost frame.
+  // If the engine counts other tokens than were delivered, a frame was lost.
   if (frame.tokenCount !== state.deliveredTokens) {
     return decodeFailed(state, 'broken');
   }
@@ -262,7 +262,8 @@
   const failedGrantRequests = state.failedGrantRequests + 1;
   const isHomeLost =
     refusal.reason === 'home-moved' || refusal.reason === 'unreachable';
-  // A started stream waits for an engine that can resume it.
+  // If the caller already has tokens, engines are requested again, so that the
+  // stream can be resumed.
   const shouldRetry = isHomeLost || state.deliveredTokens > 0;
   if (shouldRetry && failedGrantRequests < facts.policy.maxGrantRequests) {
     return transitionTo(
--- a/src/core/request/model_types.ts
+++ b/src/core/request/model_types.ts
@@ -15,21 +15,27 @@
   readonly renewIntervalMs: number;
   /** Longest time between two frames of a decode stream. */
   readonly tokenProgressMs: number;
-  /** A run is not started with less time than this before the deadline. */
+  /** A run is started only if at least this time is left to the deadline. */
   readonly minServeMs: number;
   /** How long a started stream may continue after the deadline. */
   readonly streamOverrunMs: number;
-  /** How long a kept answer may continue without its caller. */
+  /**
+   * How long a request with `isKept` may continue after its caller has
+   * disconnected.
+   */
   readonly keepRunningMs: number;
   /** Used if a refusal contains no retry delay. */
   readonly defaultRetryAfterMs: number;
 }
 
-/** What does not change while the request runs. */
+/** Values that stay the same for the whole request. */
 export interface ModelFacts {
   readonly requestId: string;
   readonly deadlineAtMs: number;
-  /** The request has a key, so a repeat may adopt or replay the answer. */
+  /**
+   * The request has a key, so a repeated request may take over the answer in
+   * progress (adopt it) or get the stored one (replay it).
+   */
   readonly isKeyed: boolean;
   /** The answer is completed and stored if the caller disconnects. */
   readonly isKept: boolean;
@@ -50,7 +56,7 @@
   | 'backing-off'
   | 'ended';
 
-/** A failed run whose cause is not yet determined. */
+/** The failure of the last run, until it is decided whether to retry. */
 export interface RunFailure {
   readonly engineId: string;
   readonly address: string;
@@ -62,7 +68,7 @@
   readonly step: ModelStep;
   /** Number of the current grant request, from 1; each has an attempt id. */
   readonly attempt: number;
-  /** Runs that reached an engine. */
+  /** Number of runs started, each with a prefill. */
   readonly runs: number;
   /** Engines on which runs of this request failed. */
   readonly failedEngineIds: readonly string[];
--- a/src/core/request/plain_machine.ts
+++ b/src/core/request/plain_machine.ts
@@ -1,7 +1,8 @@
 /**
  * The lifecycle of one repeatable call to a plain service as a pure state
- * machine. A failed call may be retried on another upstream and a slow one may
- * be hedged, within the service's retry budget and the deadline.
+ * machine. A failed call may be retried on another upstream. A slow call may be
+ * hedged: a second call is sent to another upstream, and the first answer is
+ * used. Both are limited by the service's retry budget and the deadline.
  */
 
 import type {RequestError} from '../error_kinds.js';
@@ -36,7 +37,10 @@
 export type PlainEffect =
   | PlainCallEffect
   | {readonly kind: 'set-hedge-timer'; readonly delayMs: number}
-  /** Probes a new connection; a failed upstream is attributed to the request. */
+  /**
+   * Checks over a new connection whether the upstream is alive. If it is not,
+   * the request is recorded as a possible cause of the failure.
+   */
   | {readonly kind: 'probe'; readonly call: OpenCall};
 
 type PlainTransition = Transition<PlainState, PlainEffect>;
@@ -162,7 +166,8 @@
   },
   probed(_facts, state, event) {
     if (state.step !== 'probing') return transitionTo(state);
-    // Only the connection had failed, so the upstream may be tried again.
+    // If the upstream is alive, only the connection failed, so the upstream may
+    // be tried again.
     const triedIds = event.isAlive
       ? state.triedIds.filter(id => id !== event.upstreamId)
       : state.triedIds;
--- a/src/core/request/plain_types.ts
+++ b/src/core/request/plain_types.ts
@@ -11,16 +11,22 @@
   readonly callTimeoutMs: number;
   /** Delay before a repeatable call is hedged; 0 disables hedging. */
   readonly hedgeAfterMs: number;
-  /** A call is not started with less time than this before the deadline. */
+  /** A call is started only if at least this time is left to the deadline. */
   readonly minServeMs: number;
-  /** How long a call is awaited for the journal after the caller is answered. */
+  /**
+   * How long the outcome of a call is awaited after the request has failed, so
+   * that the journal can record it.
+   */
   readonly lingerMs: number;
-  /** Maximum intent requests when the journal partition has moved. */
+  /**
+   * Maximum requests to record an intent that may be refused because the
+   * journal partition has moved to another host.
+   */
   readonly maxIntentRequests: number;
   readonly defaultRetryAfterMs: number;
 }
 
-/** What does not change while the call runs. */
+/** Values that stay the same for the whole request. */
 export interface PlainFacts {
   readonly requestId: string;
   readonly deadlineAtMs: number;
--- a/src/core/request/single_run_machine.ts
+++ b/src/core/request/single_run_machine.ts
@@ -21,7 +21,10 @@
   readonly step:
     | 'new'
     | 'awaiting-intent'
-    /** Another attempt runs or the partition moved; asks again later. */
+    /**
+     * Another attempt with the key is running or the journal partition has
+     * moved; the intent is requested again after a delay.
+     */
     | 'waiting'
     | 'calling'
     | 'asking-retry'
@@ -47,7 +50,10 @@
       readonly outcome: IntentOutcome;
       readonly nowMs: number;
     }
-  /** The intent is durable, but earlier runs of this call crashed upstreams. */
+  /**
+   * The intent is durable, but the call must not be sent, because earlier runs
+   * of it crashed upstreams.
+   */
   | {readonly kind: 'quarantined'; readonly ask: number}
   | {readonly kind: 'ask-again'}
   | {readonly kind: 'linger-over'}
@@ -63,7 +69,10 @@
       readonly timer: 'ask' | 'linger';
       readonly delayMs: number;
     }
-  /** Probes a new connection; a failed upstream is attributed to the request. */
+  /**
+   * Checks over a new connection whether the upstream is alive. If it is not,
+   * the request is recorded as a possible cause of the failure.
+   */
   | {readonly kind: 'suspect'; readonly call: OpenCall};
 
 /** The outcome of a call as recorded in the journal. */
@@ -127,7 +136,7 @@
   });
 }
 
-/** Fails the request before any dispatch and releases its key. */
+/** Fails a request whose call has not run, and frees its key. */
 function failNotRun(
   facts: PlainFacts,
   state: SingleRunState,
--- a/src/core/request/transition.ts
+++ b/src/core/request/transition.ts
@@ -1,6 +1,6 @@
 /** Types shared by the request state machines. */
 
-/** The next state and the effects that the task must perform. */
+/** The next state, and the effects that the caller must perform. */
 export interface Transition<State, Effect> {
   readonly state: State;
   readonly effects: readonly Effect[];
--- a/src/relay/placement/engine_breaker.ts
+++ b/src/relay/placement/engine_breaker.ts
@@ -27,7 +27,8 @@
 }
 
 /**
- * Failing counts more than being full, which healthy engines are now and then.
+ * A failing engine gets more weight than a full one, because healthy engines
+ * are also full now and then.
  */
 const WEIGHTS: Readonly<Record<EngineProblem, number>> = {
   none: 0,
@@ -37,7 +38,8 @@
 /** From this weight on the engine gets one trial request at a time. */
 const TRIAL_WEIGHT = 2;
 /**
- * From this weight on the engine stays excluded after the reports have ended.
+ * From this weight on the engine stays excluded for a time after the hosts have
+ * stopped reporting a problem.
  */
 const REPEAT_WEIGHT = 4;
 const FIRST_EXCLUSION_MS = 1_000;
@@ -71,8 +73,8 @@
       excludedUntilMs: nowMs,
     };
     records.set(engineId, record);
-    // A problem is reported for a while; only a new or worse one adds to the
-    // weight.
+    // The same problem is reported repeatedly for a while, so only a new or
+    // worse one adds to the weight.
     if (WEIGHTS[problem] > WEIGHTS[record.problem]) {
       record.weight += WEIGHTS[problem] - WEIGHTS[record.problem];
     }
--- a/src/relay/placement/engine_candidates.ts
+++ b/src/relay/placement/engine_candidates.ts
@@ -76,8 +76,8 @@
 }
 
 /**
- * After a refusal for lack of room, the tracked load of the engine is wrong for
- * about this long.
+ * Exclusion after the first refusal for lack of room. The tracked load of the
+ * engine is wrong for about this long.
  */
 const FIRST_REFUSAL_MS = 250;
 /**
@@ -87,8 +87,9 @@
  */
 const MAX_REFUSAL_MS = 2_000;
 /**
- * The list shows a change of role after a heartbeat, but later in a store
- * outage. Until then the engine refuses every request for its listed role.
+ * The list of upstreams shows a changed role after the engine's next heartbeat,
+ * but later in a store outage. Until then the engine refuses every request for
+ * its listed role, and is excluded for at most this long.
  */
 const ROLE_MISMATCH_MS = 8_000;
 
@@ -211,8 +212,8 @@
     prefillIncludingFailed: service =>
       preferNotFull(listEngines(service, 'prefill')),
     recordFailure(id) {
-      // A host that only reserves engines chosen by a placer may not track the
-      // role yet.
+      // A host for which a placer chooses the engines does not list them, so it
+      // may not track their roles yet.
       const service = registry.get(id)?.service;
       if (service !== undefined) trackRoles(registry.open(service));
       health.failure(id, clock.nowMs());
--- a/src/relay/placement/engine_choice.ts
+++ b/src/relay/placement/engine_choice.ts
@@ -51,8 +51,8 @@
     ahead: number,
   ): ChosenEngines | undefined;
   /**
-   * Chooses again for a request that has already started, however long the
-   * backlogs of the prefill engines.
+   * Chooses other engines for a request that has already started. Accepts a
+   * prefill engine however long its backlog is.
    */
   chooseAgain(
     need: ChoiceNeed,
@@ -72,8 +72,9 @@
 }
 
 /**
- * Behind a longer prefill backlog, a request would reserve decode memory for
- * longer than it would have waited in the queue.
+ * Prefill engines with a longer backlog get no new request. It would reserve
+ * decode memory while it waits there, for longer than it would have waited in
+ * the queue.
  */
 const MAX_PREFILL_BACKLOG_MS = 400;
 /**
@@ -144,10 +145,10 @@
     includingFailed: readonly Upstream[],
   ): ChosenEngines | undefined {
     if (prefillEngines.length === 0) return {decode};
-    // An engine that loses two of five answers still prefills three prompts of
-    // five. With three such engines excluded, the remaining one prefilled 13 of
-    // the 28 prompts that a burst brought each second, while the decode engines
-    // were half empty.
+    // Engines that failed recently are tried next, because an engine that loses
+    // two of five answers still prefills three of five prompts. When three such
+    // engines were excluded, the only other one prefilled 13 prompts a second
+    // in a burst of 28 a second, and the decode engines stayed half empty.
     const prefill =
       pickShortBacklog(prefillEngines, decode) ??
       pickShortBacklog(includingFailed, decode);
@@ -161,9 +162,9 @@
   ): ChosenEngines | undefined {
     const {name} = need.service;
     const engines = preferredOf(candidates.decodeWithRoom(name));
-    // An engine that loses some answers still serves most. Excluding it while
-    // the healthy engines are full makes callers wait or leave that it could
-    // serve.
+    // An engine that loses some answers still serves most requests. If it were
+    // excluded while the healthy engines are full, callers that it could serve
+    // would wait or leave.
     const decode =
       pickDecode(engines, engineLoads, traits, need) ??
       pickDecode(
--- a/src/relay/placement/engine_loads.ts
+++ b/src/relay/placement/engine_loads.ts
@@ -5,8 +5,8 @@
  * Decode memory is the bottleneck in bursts: a request holds its prompt and all
  * its output until it ends. Admitting requests by their prompts alone makes the
  * engine preempt some of them later; admitting them by their longest possible
- * output leaves memory unused. So each run counts with what it holds now and
- * with what it is forecast to hold at its end.
+ * output leaves memory unused. So two numbers are tracked for each run: the
+ * tokens that it holds now and those that it is forecast to hold at its end.
  */
 
 import type {HostLoad} from './host_load.js';
@@ -48,13 +48,14 @@
   /** Load reserved by this host, to announce to the peers. */
   ownLoad(): HostLoad;
   /**
-   * Load reserved by all hosts, for hosts that do not receive the announcements
-   * of the others.
+   * Load reserved by this host and its peers, to send to hosts that do not
+   * receive the announcements of the others.
    */
   totalLoad(): HostLoad;
   /**
-   * Engines in the last two announced loads. The hosts that use an engine must
-   * also be told once this host has released it.
+   * Engines in the last two announced loads. The one before the last is
+   * included because the hosts that use an engine must also be told once this
+   * host has released it.
    */
   usedEngineIds(): readonly string[];
   /** Replaces the load of a peer; undefined removes it. */
--- a/src/relay/placement/engine_scheduler.ts
+++ b/src/relay/placement/engine_scheduler.ts
@@ -62,7 +62,8 @@
   readonly service: Service;
   readonly waiting: Waiting;
   /**
-   * The time that `waiting` allows between the placement and the first event.
+   * Expected time from the placement to the first event. The latest starts in
+   * `waiting` are earlier by this time.
    */
   readonly startMs: number;
   /** How much longer the caller will wait. */
@@ -75,7 +76,7 @@
   /** Absent when the decode engine prefills the prompt itself. */
   readonly prefill?: Upstream;
   readonly run: DecodeRun;
-  /** The reserved prefill, until it has ended. */
+  /** Counts the prompt in the backlog of its prefill engine until it ends. */
   readonly prefillReservation: PrefillReservation;
 }
 
--- a/src/relay/placement/peer_loads.ts
+++ b/src/relay/placement/peer_loads.ts
@@ -1,7 +1,7 @@
 /**
- * Total load that all peers have reserved on each engine, updated with each
- * announcement. With many hosts, adding it up anew for each engine and request
- * takes more processor time than the request itself.
+ * Total load that all peers have reserved on each engine. It is updated with
+ * each announcement, because with many hosts adding it up for each engine and
+ * request would take more processor time than the request itself.
  */
 
 import type {HostLoad} from './host_load.js';
--- a/src/relay/placement/placement_client.ts
+++ b/src/relay/placement/placement_client.ts
@@ -1,14 +1,15 @@
 /**
- * Asks the placer of this host's group for engines, where many hosts share
- * them. The placer knows exactly what is reserved and which requests wait.
+ * Asks the placer for engines, where many hosts share them. The placer is the
+ * host that chooses engines for this host's group, and knows exactly what is
+ * reserved and which requests wait.
  *
  * Hosts that decide by outdated data reserve the same room twice, and small
  * hosts cannot process each change of all others at once.
  *
  * A placer may be dead, frozen or cut off before the membership shows it. It
- * must acknowledge each request at once; otherwise the standby, which receives
- * the same announcements, is asked, and then this host decides by its own,
- * older data.
+ * must acknowledge each request at once. If it does not, the standby is asked,
+ * which receives the same announcements. If the standby does not either, this
+ * host decides by its own, older data.
  */
 
 import type {Clock, TimerHandle} from '../../ports/clock.js';
@@ -72,13 +73,13 @@
 /** A skipped placer gets no requests for this long. */
 const SKIP_MS = 600;
 /**
- * The placer refuses a request in time; after this margin its refusal is
- * assumed lost.
+ * The placer refuses a request that finds no engine by `giveUpAtMs`. If nothing
+ * has arrived this long after it, the refusal is assumed lost.
  */
 const REFUSAL_MARGIN_MS = 150;
 /**
- * Reserved requests are announced for this long, in case an announcement is
- * lost.
+ * The id of a request whose engines are reserved is announced for this long, in
+ * case an announcement is lost.
  */
 const ANNOUNCE_ADOPTED_MS = 1_200;
 
@@ -165,7 +166,10 @@
     });
   }
 
-  /** Extra time for which a silent placer is not suspected. */
+  /**
+   * Added to the time limits of a queued request, which is sent again less
+   * often.
+   */
   function graceMs({isQueued}: PendingRequest): number {
     return isQueued ? QUEUED_RESEND_MS : 0;
   }
@@ -215,8 +219,8 @@
         if (placer === host.hostId) break;
         if (isSkipped(placer)) continue;
         const outcome = await requestFrom(placer, need, cancellation);
-        // The lists differ, but the placer works and gets the next request
-        // again.
+        // The placer's list of upstreams differs from this host's, but the
+        // placer works, so it is asked again for the next request.
         if (outcome === 'unknown') break;
         if (outcome !== 'silent') return outcome;
         skip(placer, need);
--- a/src/relay/placement/placement_groups.ts
+++ b/src/relay/placement/placement_groups.ts
@@ -73,8 +73,9 @@
 }
 
 /**
- * The placer of a group receives five datagrams for each stream. At 0.6 streams
- * a second for each host, a group of this size sends it some 400 a second.
+ * The placer of a group receives five datagrams for each stream. If each host
+ * has 0.6 streams a second, a group of this size sends it some 400 datagrams a
+ * second.
  */
 const MAX_HOSTS_PER_GROUP = 128;
 /** The placer and a standby that receives the same announcements. */
--- a/src/relay/placement/placement_messages.ts
+++ b/src/relay/placement/placement_messages.ts
@@ -16,8 +16,8 @@
   readonly onTimeMs: number;
   readonly giveUpMs: number;
   /**
-   * The time that `onTimeMs` and `giveUpMs` allow between the placement and the
-   * first event.
+   * Expected time from the placement to the first event. `onTimeMs` and
+   * `giveUpMs` are shorter by this time.
    */
   readonly startMs: number;
   readonly callerLeftMs: number;
--- a/src/relay/placement/placement_rules.ts
+++ b/src/relay/placement/placement_rules.ts
@@ -16,9 +16,9 @@
 
 /**
  * Share of the remaining output of all runs that is assumed to be in memory at
- * once. Runs end at different times, so it is never all there: with evenly
- * spread ages it would be half. The rest is a margin for forecasts that are too
- * short.
+ * once. Runs end at different times, so it is never all in memory: if the ages
+ * of the runs were evenly spread, it would be half. The share above half is a
+ * margin for outputs that are longer than forecast.
  */
 const CONCURRENT_GROWTH_SHARE = 0.6;
 /**
@@ -26,7 +26,10 @@
  * unused.
  */
 export const USABLE_KV_SHARE = 0.97;
-/** A transfer between failure domains takes twice as long, some 4 ms more. */
+/**
+ * Added to the backlog of a prefill engine in another failure domain than the
+ * decode engine, because the transfer then takes twice as long, some 4 ms more.
+ */
 const CROSS_DOMAIN_PREFILL_TOKENS = 150;
 
 /** Tokens that one more request may take, by forecast. */
--- a/src/relay/placement/placement_server.ts
+++ b/src/relay/placement/placement_server.ts
@@ -3,8 +3,8 @@
  * queue and load data as this host's own streams.
  *
  * A placement counts in this host's load until the requesting host has
- * announced it as its own, or for a second, because that host may die or its
- * announcements may be lost.
+ * announced it in its own load. It counts for at most a second, because that
+ * host may die or its announcements may be lost.
  */
 
 import type {Service} from '../../core/routing_types.js';
@@ -108,7 +108,8 @@
     // requesting host gets no answer and goes on to the next placer.
     if (!service) return;
     const nowMs = clock.nowMs();
-    // The placer has the latest data on how long starts take.
+    // The placer has the latest data on the time to the first event, so the
+    // limits are computed with its mean instead of that of the requesting host.
     const startMs = host.statistics.meanStartMs();
     const slackMs = request.startMs - startMs;
     const entry: ServedRequest = {
--- a/src/relay/placement/pooled_means.ts
+++ b/src/relay/placement/pooled_means.ts
@@ -1,7 +1,7 @@
 /**
  * Means of recent observations over all hosts. Each host announces sums that
- * decay with time and adds up those of all hosts, because a single host of many
- * sees too few streams for a useful mean.
+ * decay with time, and adds up the sums of all hosts, because one host among
+ * many sees too few streams for a useful mean.
  */
 
 import type {Clock} from '../../ports/clock.js';
--- a/src/relay/placement/relay_placement.ts
+++ b/src/relay/placement/relay_placement.ts
@@ -84,8 +84,8 @@
 }
 
 /**
- * Stands for all hosts where a coordinator's summary is stored beside the
- * peers.
+ * Used in place of a host id to store the totals of all hosts, from a
+ * coordinator's summary, beside those of the peers.
  */
 const ALL_HOSTS = '*';
 /**
--- a/src/relay/placement/shared_statistics.ts
+++ b/src/relay/placement/shared_statistics.ts
@@ -29,7 +29,7 @@
   meanStartMs(): number;
   recordRun(run: FinishedRun): void;
   meanRunMs(): number;
-  /** Mean time of a whole decode engine that one run takes up. */
+  /** Mean of a run's duration times the share of a decode engine it takes. */
   meanDecodeMs(): number;
   meanPromptTokens(): number;
   /** Records a prefill on an engine that had no other prompt. */
@@ -59,7 +59,10 @@
 const START_DECAY_MS = 3_000;
 const RUN_DECAY_MS = 60_000;
 const START_INITIAL_WEIGHT = 2;
-/** Short runs end first, so the first runs to end are not representative. */
+/**
+ * High, because short runs end first, so the first runs to end are not
+ * representative.
+ */
 const RUN_INITIAL_WEIGHT = 60;
 const PREFILL_INITIAL_WEIGHT = 3;
 
@@ -94,9 +97,9 @@
     recordStart: durationMs => starts.add([durationMs]),
     meanStartMs: () => starts.means()[0],
     recordRun({promptTokens, outputTokens, durationMs, kvTokens}) {
-      // Counts memory as admission does. Computed from the mean memory that a
-      // run holds, a decode engine seemed to fit a fifth more runs than it is
-      // given.
+      // Counts the memory that placement plans for a run. When the mean memory
+      // that a run holds was counted instead, a decode engine seemed to have
+      // room for a fifth more runs than are placed on it.
       const need = {promptTokens, expectedOutputTokens: outputTokens};
       const usable = kvTokens * USABLE_KV_SHARE;
       const share = usable > 0 ? plannedTokens(need) / usable : 1;
--- a/src/relay/placement/wait_rules.ts
+++ b/src/relay/placement/wait_rules.ts
@@ -20,13 +20,16 @@
   readonly giveUpAtMs: number;
 }
 
-/** Callers leave a stream after a gap of the longest of these three. */
+/**
+ * A caller is assumed to leave after the longest of three times without an
+ * event: this one and the goals of its route times the two factors below.
+ */
 const MIN_PATIENCE_MS = 2_000;
 const PATIENCE_GOAL_FACTOR = 4;
 const PATIENCE_GAP_FACTOR = 8;
 /** Covers the delivery to the caller and a slow first decode step. */
 const PATIENCE_MARGIN_MS = 250;
-/** Retry times are spread over this share of the wait. */
+/** Each retry delay exceeds the wait by a random part of this share of it. */
 const RETRY_SPREAD = 0.5;
 const MIN_RETRY_AFTER_MS = 150;
 /**
@@ -103,7 +106,8 @@
 }
 
 /**
- * A retry delay that spreads the callers, within the time that they still wait.
+ * A retry delay that is partly random, so that callers do not all retry at
+ * once, and that ends while the caller still waits.
  */
 export function spreadRetryAfterMs(
   waitMs: number,
