--- a/src/relay/front/caller.ts
+++ b/src/relay/front/caller.ts
@@ -1,12 +1,12 @@
 /**
- * Interface to the caller of one request, for the tasks that run the request.
+ * The caller of one request, as the code that runs the request uses it.
  */
 
 import type {RequestError} from '../../core/error_kinds.js';
 import type {RawHeaders} from '../../ports/relay.js';
 
 export interface Caller {
-  /** Sends the head of an upstream's answer. */
+  /** Sends the status and headers of an upstream's answer. */
   begin(status: number, headers: RawHeaders, bodyLength?: number): void;
   /** Returns false if the caller should first wait for `onWritable`. */
   write(bytes: Buffer): boolean;
--- a/src/relay/front/host_directory.ts
+++ b/src/relay/front/host_directory.ts
@@ -1,6 +1,7 @@
 /**
  * Selects the entries that callers should use: the ready hosts, including this
- * one. Pure except for what it reads from `HostDirectoryHost`.
+ * one if it is ready. It keeps no state and reads only from
+ * `HostDirectoryHost`.
  */
 
 import type {Random} from '../../ports/random.js';
@@ -21,8 +22,9 @@
 }
 
 /**
- * A failed entry delays each caller that chooses it by a second, so answers are
- * short-lived. A call for them costs an entry a fraction of a millisecond.
+ * A failed entry delays each caller that chooses it by a second, so callers may
+ * cache an answer only for a short time. Making an answer costs an entry a
+ * fraction of a millisecond.
  */
 const TTL_S = 1.5;
 const MAX_ADDRESSES = 64;
--- a/src/relay/front/leaving.ts
+++ b/src/relay/front/leaving.ts
@@ -38,17 +38,19 @@
 
 /** Most callers refresh the directory's answer within this time. */
 const MIN_LEAVE_MS = 2_500;
-/** After this time without a request, callers are assumed to have moved. */
+/**
+ * After this time without a request, callers are assumed to use other entries.
+ */
 const QUIET_MS = 400;
 const CHECK_INTERVAL_MS = 50;
 /** Leaving ends this long before the process is killed. */
 const KILL_MARGIN_MS = 250;
 /**
- * A stream takes about 4 s; one that begins later than this after the signal
- * might not end in time.
+ * Streams are refused from this long after the signal, since a stream takes
+ * about 4 s and one that begins later might not end in time.
  */
 const STREAM_ADMISSION_MS = 2_000;
-/** A caller can connect to another entry right away. */
+/** Short, since a caller can connect to another entry right away. */
 const OTHER_ENTRY_RETRY_MS = 20;
 
 export function createLeaving(
--- a/src/relay/front/relay_front.ts
+++ b/src/relay/front/relay_front.ts
@@ -35,10 +35,13 @@
   close(): void;
 }
 
-/** Limits until a configuration is known; the header limit stays in force. */
+/**
+ * Limits until a configuration is known; the header limit also applies
+ * afterwards.
+ */
 const DEFAULT_MAX_HEADER_BYTES = 64 * 1024;
 const DEFAULT_MAX_BODY_BYTES = 4 * 1024 * 1024;
-/** Wait of a caller that sends no timeout. */
+/** How long a caller is assumed to wait if it sends no timeout. */
 const DEFAULT_WAIT_MS = 600_000;
 const MS_PER_SECOND = 1_000;
 
--- a/src/scheduling/dispatcher.ts
+++ b/src/scheduling/dispatcher.ts
@@ -1,6 +1,7 @@
 /**
- * The dispatcher of one shard of engines. It uses callbacks, so that it can be
- * driven in virtual time; `shard_home.ts` wraps it in promises.
+ * The dispatcher of one shard of engines. It replies through callbacks, so that
+ * it can run in virtual time (on a simulated clock); `shard_home.ts` offers it
+ * through promises.
  */
 
 import {forecastWaitMs, readCapacity} from '../core/scheduling/admission.js';
@@ -34,7 +35,10 @@
 const NO_ENGINE_RETRY_MS = 1_000;
 const NO_TICKET: GrantTicket = {cancel() {}};
 
-/** Records a grant of an earlier home and reserves its engines. */
+/**
+ * Records a grant that an earlier home gave, and reserves its capacity on its
+ * engines.
+ */
 function adoptGrant(state: ShardState, announced: AnnouncedGrant): void {
   const {grant, request, isDecoding, tokensDelivered} = announced;
   if (state.ledger.get(grant.grantId)) return;
@@ -169,7 +173,8 @@
       for (const engineId of removed) removeEngine(engineId);
       for (const engineId of added) {
         const {role} = state.pool.get(engineId)!.description;
-        // Engines of the first list haven't failed and need no ramp.
+        // The engines of the first list haven't failed, so they get full load
+        // at once. Engines added later get it gradually.
         state.health.add(engineId, role, clock.nowMs(), !hadEngines);
       }
       if (engines.length > 0) hadEngines = true;
--- a/src/scheduling/dispatcher_types.ts
+++ b/src/scheduling/dispatcher_types.ts
@@ -23,24 +23,31 @@
 
 export interface DispatcherOptions {
   readonly shardId: string;
-  /** Incremented with each takeover of the shard. */
+  /** Increases each time another home takes over the shard. */
   readonly homeEpoch: number;
   readonly service: string;
   readonly targets: LatencyTargets;
-  /** 0: only goodput counts; 1: only wasted prefill counts. */
+  /**
+   * Weight of wasted prefills against goodput: 0 optimizes goodput only, 1
+   * wasted prefills only.
+   */
   readonly wasteWeight: number;
   readonly maxQueued: number;
   /**
-   * Whether entries retry an import that found no room while the prefill
-   * result is valid. Only then are slots reserved from a forecast, since
-   * without retries a reservation that is slightly early wastes its prefill.
+   * Whether an entry whose decode engine had no room to import a prefill result
+   * tries again for as long as the result is valid. Slots are reserved from a
+   * forecast only if so, since without retries a reservation that is slightly
+   * early wastes its prefill.
    */
   readonly hasImportRetries?: boolean;
   readonly accounts?: ReadonlyMap<string, AccountLimits>;
   readonly policy?: Partial<SchedulingPolicy>;
   readonly initialEstimates?: Partial<InitialEstimates>;
   readonly health?: Partial<HealthOptions>;
-  /** How long to admit conservatively after a takeover; 0 disables it. */
+  /**
+   * Time after a takeover in which the home uses only part of each engine and
+   * refuses no request by forecast; 0 for none.
+   */
   readonly rebuildMs?: number;
   /** A grant expires if it gets no report for this long. */
   readonly grantLifeMs?: number;
@@ -49,12 +56,15 @@
 /** Called exactly once for each request, or not at all if it is cancelled. */
 export type GrantReply = (outcome: Grant | GrantRefusal) => void;
 
-/** A place in the queue; `cancel` removes it without a reply. */
+/** Withdraws a request: `cancel` removes it from the queue without a reply. */
 export interface GrantTicket {
   cancel(): void;
 }
 
-/** A grant of an earlier home that its entry announces to a new home. */
+/**
+ * A grant that an earlier home gave, as the entry that uses it announces it to
+ * a new home.
+ */
 export interface AnnouncedGrant {
   readonly grant: Grant;
   readonly request: GrantRequest;
@@ -62,7 +72,7 @@
   readonly tokensDelivered: number;
 }
 
-/** Key figures of a shard, for the choice between shards. */
+/** State of a shard from which entries choose between shards. */
 export interface ShardSummary {
   readonly shardId: string;
   readonly service: string;
@@ -82,7 +92,10 @@
   report(grantId: string, progress: GrantProgress): void;
   /** Sets the engines of this shard and removes all others. */
   setEngines(engines: readonly EngineDescription[]): void;
-  /** Applies settings after a change of configuration. */
+  /**
+   * Replaces the targets, the waste weight and all account limits after a
+   * change of configuration.
+   */
   applySettings(
     targets: LatencyTargets,
     wasteWeight: number,
@@ -93,9 +106,15 @@
   /** Stops new grants on the engine; existing grants continue. */
   markLeaving(engineId: string): void;
   removeEngine(engineId: string): void;
-  /** Releases the grants and queue places of an entry that died. */
+  /**
+   * Releases the grants of an entry that failed, after a delay, and drops its
+   * queued requests.
+   */
   releaseEntry(entryTag: string): void;
-  /** Adopts a grant of an earlier home from the announcement of its entry. */
+  /**
+   * Records a grant of an earlier home, as announced by its entry, and reserves
+   * its capacity.
+   */
   adopt(announced: AnnouncedGrant): void;
   summary(): ShardSummary;
   /** Reserved capacity of each engine, for checks and status pages. */
--- a/src/scheduling/engine_limits.ts
+++ b/src/scheduling/engine_limits.ts
@@ -1,18 +1,25 @@
 /**
- * Limits on the use of each engine, from its health, its ramp after a failure,
- * its token interval, and the rebuild after a takeover.
+ * Limits on the use of each engine, from its health, the gradual increase of
+ * its load after a failure, its token interval, and the time after a takeover
+ * in which the home may not know all grants.
  */
 
 import {isRebuilding, type ShardState} from './shard_state.js';
 
-/** Share of the free slots that a home grants while it rebuilds. */
+/**
+ * Share of the free slots that a home grants while it may not know all grants
+ * of the earlier home.
+ */
 const REBUILD_SHARE = 0.5;
 const FORECAST_HORIZON_MS = 500;
-/** Shares of the target token interval between which the limit is unchanged. */
+/**
+ * The slot limit is unchanged while the token interval of an engine is between
+ * these two shares of the target.
+ */
 const HIGH_INTERVAL_SHARE = 0.98;
 const LOW_INTERVAL_SHARE = 0.85;
 
-/** Recomputes the health share and the slot limit of each engine. */
+/** Recomputes the usable share and the slot limit of each engine. */
 export function refreshLimits(state: ShardState): void {
   const nowMs = state.clock.nowMs();
   for (const engine of state.pool.all()) {
@@ -25,8 +32,9 @@
     if (isRebuilding(state)) {
       // A new home doesn't know yet which slots the old home has granted. It
       // uses an engine only after a load report of the engine itself, and only
-      // half of the slots reported free. So two homes together exceed an engine
-      // by at most half of its free slots, and the engine refuses the excess.
+      // half of the slots reported free. So the old and the new home together
+      // grant at most half of the free slots too many, and the engine refuses
+      // those.
       if (reservations.lastReportMs() === undefined) share = 0;
       const free = Math.max(0, reservations.freeSlots());
       const usable = Math.floor(free * REBUILD_SHARE);
--- a/src/scheduling/grant_issuer.ts
+++ b/src/scheduling/grant_issuer.ts
@@ -1,6 +1,7 @@
 /**
- * Issues the grant for a placement: reserves engines and links, charges the
- * account's share and records the grant.
+ * Issues the grant for a request and the engines chosen for it: reserves
+ * capacity on the engines and links, charges the cost to the client account and
+ * records the grant.
  */
 
 import type {PoolEngine} from '../core/scheduling/engine_pool.js';
@@ -68,7 +69,11 @@
     queued.reply(grant);
   }
 
-  /** Updates the health share, so an engine on trial gets one request only. */
+  /**
+   * Records the request and updates the usable share of the engine, so that an
+   * engine on probation after an ejection gets only one request per probe
+   * interval.
+   */
   function recordUse(engine: PoolEngine): void {
     const nowMs = state.clock.nowMs();
     const {engineId} = engine.description;
--- a/src/scheduling/grant_ledger.ts
+++ b/src/scheduling/grant_ledger.ts
@@ -1,4 +1,4 @@
-/** The outstanding grants of one home. */
+/** The grants of one home that haven't ended. */
 
 import type {PoolEngine} from '../core/scheduling/engine_pool.js';
 import type {Grant, GrantRequest} from '../ports/grants.js';
@@ -6,7 +6,7 @@
 export interface HeldGrant {
   readonly grant: Grant;
   readonly request: GrantRequest;
-  /** Undefined if the engine was removed or is no longer used. */
+  /** Undefined if the engine isn't in the shard or is no longer used. */
   prefill: PoolEngine | undefined;
   decode: PoolEngine | undefined;
   phase: 'reserved' | 'prefilling' | 'prefilled' | 'decoding';
@@ -18,7 +18,10 @@
   expiresAtMs: number;
   tokensDelivered: number;
   tokensAtMs: number;
-  /** Whether a delayed release is scheduled, since its entry is silent. */
+  /**
+   * Whether the grant will be released after a delay, since its entry failed or
+   * sent no report in time.
+   */
   isReleaseScheduled?: boolean;
 }
 
--- a/src/scheduling/grant_queue.ts
+++ b/src/scheduling/grant_queue.ts
@@ -25,8 +25,9 @@
 const MIN_GRANT_DELAY_MS = 2;
 const LINK_RETRY_MS = 20;
 /**
- * A queued request is dropped if its forecast is late by more than this share
- * of its time to the first token.
+ * A queued request is dropped if its forecast start is later than its latest
+ * start by more than this share of the time it had left to the first token when
+ * it was queued.
  */
 const DROP_LATE_SHARE = 0.25;
 
@@ -75,7 +76,10 @@
     if (state.queue.remove(queued)) refuse(queued.reply, reason, lateMs);
   }
 
-  /** Excludes engines that failed the request, if others take new work. */
+  /**
+   * Returns the engines without those on which the request failed, or all if no
+   * other takes new work.
+   */
   function withoutFailed(
     engines: readonly PoolEngine[],
     {avoidEngineIds = []}: GrantRequest,
@@ -129,8 +133,9 @@
       if (placement.by === 'prefill' || placement.by === 'no-engine') break;
       if (placement.by === 'decode') {
         smallestBlockedKv = queued.kvBytes;
-        // The first request that doesn't fit keeps the engine that will have
-        // room first. Otherwise smaller requests could overtake it forever.
+        // The engine that will have room first is kept for the first request
+        // that doesn't fit. Otherwise smaller requests could be granted before
+        // it forever.
         held ??= placement.waitFor;
       }
       scanned++;
@@ -139,7 +144,10 @@
     scheduleGrants();
   }
 
-  /** Schedules a retry, since prefill engines become free without a report. */
+  /**
+   * Schedules another attempt, since no report says when a prefill engine
+   * becomes free.
+   */
   function scheduleGrants(): void {
     if (grantTimer || state.queue.size() === 0 || isStopped) return;
     const nowMs = state.clock.nowMs();
@@ -159,7 +167,11 @@
     );
   }
 
-  /** Finds the queued request to drop so that `account` gets its share. */
+  /**
+   * Finds the queued request to drop so that `account` gets its share: the last
+   * one of the account with the highest use, if that is higher than the use of
+   * `account`.
+   */
   function findDisplaceable(account: string): QueuedRequest | undefined {
     const nowMs = state.clock.nowMs();
     const ownUse = state.shares.normalizedUse(account, nowMs);
--- a/src/scheduling/grant_tracker.ts
+++ b/src/scheduling/grant_tracker.ts
@@ -1,6 +1,7 @@
 /**
- * Tracks the progress of grants. Updates the service model from each step, and
- * releases reservations when a grant ends or expires or its entry dies.
+ * Tracks the progress of grants. Updates the estimates of the service model
+ * from each report, and releases reservations when a grant ends or expires or
+ * its entry fails.
  */
 
 import type {PoolEngine} from '../core/scheduling/engine_pool.js';
@@ -10,7 +11,9 @@
 import {prefillTokens} from './request_estimates.js';
 import type {ShardState} from './shard_state.js';
 
-/** Time in which engines free the sessions of an entry that died. */
+/**
+ * Time in which engines free the sessions of an entry that failed or is silent.
+ */
 const RELEASE_DELAY_MS = 1_000;
 /** A single prefill sample is capped at this multiple of the estimate. */
 const MAX_PREFILL_SAMPLE_FACTOR = 4;
@@ -23,7 +26,9 @@
   /** Schedules the release of grants that have expired. */
   releaseExpired(): void;
   releaseEntry(entryTag: string): void;
-  /** Removes an engine from the health records and from all grants. */
+  /**
+   * Removes an engine from the health records, the prefix index and all grants.
+   */
   removeEngine(engineId: string): void;
 }
 
@@ -47,8 +52,8 @@
   }
 
   /**
-   * Releases a grant whose entry is silent, after its engines have had time to
-   * free their sessions.
+   * Releases a grant whose entry failed or sent no report in time, after its
+   * engines have had time to free their sessions.
    */
   function scheduleRelease(held: HeldGrant): void {
     if (held.isReleaseScheduled) return;
--- a/src/scheduling/plain_balancer.ts
+++ b/src/scheduling/plain_balancer.ts
@@ -1,11 +1,12 @@
 /**
- * Chooses an upstream of a plain service: one with the fewest outstanding
- * calls, at random among equals with a weight by latency. Health follows the
+ * Chooses an upstream of a service of plain HTTP calls: one with the fewest
+ * outstanding calls, relative to its health share. Among equals the choice is
+ * random, and a lower latency makes an upstream more likely. Health follows the
  * same rules as for engines.
  *
- * The random choice matters where many hosts share few upstreams. Each host
- * rarely has an outstanding call, and all see the same upstream as the
- * fastest. Always taking the fastest sends the calls of 68 hosts to one of
+ * The choice is random because many hosts may share few upstreams. Each host
+ * then rarely has an outstanding call, and all measure the same upstream as the
+ * fastest. If each took the fastest, the calls of 68 hosts would go to one of
  * three upstreams; a random choice gives each a third, within 25 % (in virtual
  * time, see the test).
  */
@@ -37,11 +38,16 @@
   readonly otherDomainCostMs?: number;
 }
 
-/** Result of a call, as it concerns the health of the upstream. */
+/**
+ * Result of a call, for the health of the upstream; `cancelled` doesn't count.
+ */
 export type PlainCallResult = 'ok' | 'failed' | 'timeout' | 'cancelled';
 
 export interface PlainBalancer {
-  /** Undefined if no upstream may take new work. */
+  /**
+   * Returns undefined if every upstream is leaving or excluded. Unhealthy
+   * upstreams are chosen only if there are no others.
+   */
   pick(
     service: string,
     exclude: ReadonlySet<string>,
@@ -84,7 +90,10 @@
   minSamples: 8,
   failuresToEject: 3,
 };
-/** Added to latencies so the slowness check ignores smaller differences. */
+/**
+ * Added to each latency, so that the check for slow upstreams ignores smaller
+ * differences than this.
+ */
 const SLOWNESS_TOLERANCE_MS = 5;
 
 export function createPlainBalancer(
@@ -113,7 +122,7 @@
   const shareOf = (pool: ServicePool, {upstream}: UpstreamState) =>
     Math.max(pool.health.share(upstream.upstreamId, clock.nowMs()), MIN_SHARE);
 
-  /** Outstanding calls with one more, relative to the health share. */
+  /** Outstanding calls including the next one, divided by the health share. */
   function relativeLoad(pool: ServicePool, state: UpstreamState): number {
     return (state.outstanding + 1) / shareOf(pool, state);
   }
--- a/src/scheduling/request_estimates.ts
+++ b/src/scheduling/request_estimates.ts
@@ -6,13 +6,19 @@
 import type {GrantReply} from './dispatcher_types.js';
 import type {ShardState, QueuedRequest} from './shard_state.js';
 
-/** A request with its sampled prefixes. */
+/** The parts of a queued request from which cached tokens are estimated. */
 type RequestPrefixes = Pick<QueuedRequest, 'request' | 'sampledPrefixes'>;
 
-/** Share of the first-token time that an overlong prompt may wait in queue. */
+/**
+ * Share of the time left to the first token that a request may wait in the
+ * queue if it would be late even without a wait.
+ */
 const LONG_PROMPT_QUEUE_SHARE = 0.25;
 
-/** Tokens to prefill; for a resumed answer with the tokens delivered so far. */
+/**
+ * Tokens to prefill: the prompt and, for a resumed answer, the tokens already
+ * delivered.
+ */
 export function prefillTokens(request: GrantRequest): number {
   return request.promptTokenCount + request.resumeOffset;
 }
@@ -48,7 +54,10 @@
   return promptKvBytes / Math.max(1, engine.description.linkBytesPerMs);
 }
 
-/** Estimates what the request needs and the latest time of its start. */
+/**
+ * Estimates the time and memory that the request needs, and the latest time at
+ * which it may start.
+ */
 export function estimateRequest(
   state: ShardState,
   request: GrantRequest,
@@ -72,8 +81,9 @@
     state.model.expectedTokens(request) * state.model.intervalMs();
   const firstTokenMs = request.ttftLeftMs * (1 - state.policy.admissionMargin);
   const slackMs = firstTokenMs - ownMs;
-  // A prompt whose prefill alone exceeds the target is late on any engine. It
-  // still gets a short time in the queue.
+  // A request whose prefill, transfer and first token alone take longer than
+  // the time left is late on any engine. It may still wait in the queue for a
+  // short time.
   const queueMs =
     slackMs > 0 ? slackMs : request.ttftLeftMs * LONG_PROMPT_QUEUE_SHARE;
   const wholeMs = request.waitLeftMs - ownMs - answerMs;
@@ -95,7 +105,10 @@
   };
 }
 
-/** Engine time that a request uses, charged to the share of its account. */
+/**
+ * Engine time that a request is expected to use; it is charged to its client
+ * account.
+ */
 export function costMs(state: ShardState, queued: QueuedRequest): number {
   const answerMs =
     state.model.expectedTokens(queued.request) * state.model.intervalMs();
--- a/src/scheduling/shard_choice.ts
+++ b/src/scheduling/shard_choice.ts
@@ -1,6 +1,7 @@
 /**
- * Scheduling at the entry: chooses the shard home to request a grant from, by
- * lagging summaries, and the next one after a refusal or a timeout.
+ * Scheduling at the entry: chooses the shard home to request a grant from, and
+ * the next one after a refusal or a timeout. It compares shards by their
+ * summaries, which are always a little out of date.
  */
 
 import {
@@ -26,7 +27,7 @@
   readonly log: Logger;
 }
 
-/** The current view that this entry has of a shard. */
+/** What this entry knows of a shard. */
 export interface ShardView {
   readonly shardId: string;
   readonly failureDomain: string;
@@ -42,11 +43,17 @@
   /** The known shards of a service. */
   readonly shards: (service: string) => readonly ShardView[];
   readonly weights?: Partial<ShardWeights>;
-  /** Limit of grant requests and waits for a home, for each request. */
+  /**
+   * Maximum attempts for each request. A grant request to a home counts as one,
+   * and so does a wait for a new home.
+   */
   readonly maxAttempts?: number;
-  /** Limit of busy homes tried for each request. */
+  /** Maximum homes for each request that refuse it for lack of capacity. */
   readonly maxBusyHomes?: number;
-  /** Score above which shards of other failure domains are considered too. */
+  /**
+   * If the best shard found in the own failure domain scores above this, which
+   * is worse, shards of other failure domains are considered too.
+   */
   readonly otherDomainScoreMs?: number;
 }
 
@@ -60,7 +67,9 @@
 const DEFAULT_OTHER_DOMAIN_SCORE_MS = 30;
 const SUSPECT_MS = 2_000;
 const MAX_PREFIXES = 4_096;
-/** Timeout of a home, relative to the time to the first token. */
+/**
+ * Timeout of a grant request as a multiple of the time left to the first token.
+ */
 const HOME_TIMEOUT_FACTOR = 1.1;
 const HOME_TIMEOUT_EXTRA_MS = 250;
 /** A home whose last summary is older than this gets a shorter timeout. */
@@ -91,7 +100,10 @@
 };
 
 const HOME_RETRY_MS = 300;
-/** Share of the time to the first token that may pass waiting for a home. */
+/**
+ * A wait for a new home must end within this share of the time to the first
+ * token.
+ */
 const HOME_WAIT_SHARE = 0.5;
 
 interface HeldGrant {
@@ -103,7 +115,10 @@
 }
 
 interface ShardRecord {
-  /** Times of own grants that summaries may not show yet, oldest first. */
+  /**
+   * Times of grants to this entry that the shard's summary may not include yet,
+   * oldest first.
+   */
   readonly grantTimes: number[];
   pendingRequests: number;
   suspectUntilMs: number;
@@ -132,7 +147,10 @@
     return record;
   }
 
-  /** Own pending requests, and own grants newer than the summary. */
+  /**
+   * Counts this entry's pending requests, and its grants newer than the
+   * summary.
+   */
   function countUnseen(record: ShardRecord, ageMs: number): number {
     const sinceMs = clock.nowMs() - Math.min(ageMs, weights.staleMs);
     while (record.grantTimes.length > 0 && record.grantTimes[0] < sinceMs) {
@@ -235,9 +253,9 @@
     const onAbort = () => timeoutAbort.abort();
     signal.addEventListener('abort', onAbort, {once: true});
     let hasTimedOut = false;
-    // A live home refuses what it can't start in time. So a home that is silent
-    // for longer than the time to the first token is dead, paused or
-    // unreachable.
+    // A running home refuses what it can't start in time. So a home that
+    // doesn't answer within the time to the first token has failed, is paused
+    // or can't be reached.
     const factor =
       shard.ageMs > OLD_SUMMARY_MS
         ? OLD_SUMMARY_TIMEOUT_FACTOR
@@ -305,9 +323,9 @@
   }
 
   /**
-   * Waits briefly after a refusal because a home has moved or is unreachable,
-   * since a new home of its shard may soon take over. Returns false without a
-   * wait after any other refusal, or if the request has no time for it.
+   * Waits briefly if the refusal says that a home has moved or is unreachable,
+   * since a new home may soon take over its shard. Returns false without a wait
+   * after any other refusal, or if the request has no time for it.
    */
   async function waitForHome(
     request: GrantRequest,
@@ -323,7 +341,7 @@
     return true;
   }
 
-  /** The request with its times reduced by `usedMs`. */
+  /** Returns a copy of the request with `usedMs` less time left. */
   function withLessTime(request: GrantRequest, usedMs: number): GrantRequest {
     return {
       ...request,
--- a/src/scheduling/shard_home.ts
+++ b/src/scheduling/shard_home.ts
@@ -1,6 +1,7 @@
 /**
- * The home of one shard of engines. Exposes the shard's dispatcher as the grant
- * port that entries call, in the same process or through the peer protocol.
+ * The home of one shard: it alone grants the capacity of the shard's engines.
+ * Entries call its dispatcher through the grant port, in the same process or
+ * through the peer protocol.
  */
 
 import type {
--- a/src/scheduling/shard_state.ts
+++ b/src/scheduling/shard_state.ts
@@ -67,7 +67,10 @@
   readonly queue: WaitQueue<QueuedRequest>;
   readonly ledger: GrantLedger;
   readonly lifeMs: number;
-  /** End of the time in which the home admits conservatively. */
+  /**
+   * Until then the home uses only part of each engine and refuses no request by
+   * forecast.
+   */
   readonly rebuildUntilMs: number;
   targets: LatencyTargets;
   policy: SchedulingPolicy;
@@ -105,7 +108,10 @@
   };
 }
 
-/** Creates the scheduling policy for a waste weight. */
+/**
+ * Creates the scheduling policy. Without import retries it doesn't grant from a
+ * forecast, unless `options.policy` says so.
+ */
 export function createShardPolicy(
   options: DispatcherOptions,
   wasteWeight: number,
@@ -116,8 +122,9 @@
 }
 
 /**
- * Whether the home is rebuilding its state after a takeover. Meanwhile it
- * can't judge what is feasible, and lets requests wait.
+ * Whether the home took over so recently that it may not know all grants of the
+ * earlier home. Meanwhile it can't forecast which requests would be late, so it
+ * lets them wait instead of refusing them.
  */
 export function isRebuilding(state: ShardState): boolean {
   return state.clock.nowMs() < state.rebuildUntilMs;
